--- a/src/admission/account-limits.ts
+++ b/src/admission/account-limits.ts
@@ -1,73 +1,76 @@
 /**
- * Token limits of client accounts over all entries, without a coordinator:
- * each entry grants its part, one over the number of live entries. Over any
+ * Token buckets that limit client accounts across all entries without a
+ * coordinator: each of N live entries grants 1/N of the limit. Over any
  * time T the entries together grant at most
  *
  *     tokensPerSecond * T + burstTokens + entries * (largest request)
  *
- * because a bucket is only charged while it is above zero and falls below it
- * by one request at most. While the VM lists of the entries disagree, the rate
- * is off by the same factor as the number of entries.
+ * because a bucket is charged only while its level is above zero, so that it
+ * falls below zero by at most one request. While the entries' VM lists
+ * disagree, the rate is off by the same factor as the number of entries.
  */
 import type { Now } from "../internal.js";
 import type { AccountLimit } from "./types.js";
 
-interface Bucket {
+interface TokenBucket {
   tokens: number;
-  atMs: number;
+  refilledAtMs: number;
 }
 
 const MS_PER_SECOND = 1000;
 
 export class AccountLimits {
-  private readonly buckets = new Map<string, Bucket>();
+  private readonly buckets = new Map<string, TokenBucket>();
 
   private constructor(
     private readonly now: Now,
-    private readonly entries: () => number,
+    private readonly countEntries: () => number,
   ) {}
 
-  static create(now: Now, entries: () => number): AccountLimits {
-    return new AccountLimits(now, entries);
+  static create(now: Now, countEntries: () => number): AccountLimits {
+    return new AccountLimits(now, countEntries);
   }
 
-  /** Charges the account; else tells how long it has to wait, in ms. */
+  /**
+   * Charges the account and returns 0, or returns the time in ms until it can
+   * be charged.
+   */
   take(account: string, limit: AccountLimit, tokens: number): number {
     const bucket = this.refill(account, limit);
     if (bucket.tokens > 0) {
       bucket.tokens -= tokens;
       return 0;
     }
-    return (1 - bucket.tokens) / this.rateOf(limit);
+    return (1 - bucket.tokens) / this.refillTokensPerMs(limit);
   }
 
-  /** Corrects an earlier charge once the true cost is known. */
-  correct(account: string, tokens: number): void {
+  /** Adds `tokens` to an earlier charge; a negative number is a refund. */
+  adjustCharge(account: string, tokens: number): void {
     const bucket = this.buckets.get(account);
     if (bucket !== undefined) bucket.tokens -= tokens;
   }
 
-  private refill(account: string, limit: AccountLimit): Bucket {
-    const atMs = this.now();
-    const most = limit.burstTokens / this.share;
-    const known = this.buckets.get(account);
-    if (known === undefined) {
-      const bucket = { tokens: most, atMs };
+  private refill(account: string, limit: AccountLimit): TokenBucket {
+    const nowMs = this.now();
+    const capacityTokens = limit.burstTokens / this.entryCount;
+    const existing = this.buckets.get(account);
+    if (existing === undefined) {
+      const bucket = { tokens: capacityTokens, refilledAtMs: nowMs };
       this.buckets.set(account, bucket);
       return bucket;
     }
-    const gained = (atMs - known.atMs) * this.rateOf(limit);
-    known.tokens = Math.min(most, known.tokens + gained);
-    known.atMs = atMs;
-    return known;
+    const refillTokens =
+      (nowMs - existing.refilledAtMs) * this.refillTokensPerMs(limit);
+    existing.tokens = Math.min(capacityTokens, existing.tokens + refillTokens);
+    existing.refilledAtMs = nowMs;
+    return existing;
   }
 
-  /** Tokens for each millisecond at this entry. */
-  private rateOf(limit: AccountLimit): number {
-    return limit.tokensPerSecond / MS_PER_SECOND / this.share;
+  private refillTokensPerMs(limit: AccountLimit): number {
+    return limit.tokensPerSecond / MS_PER_SECOND / this.entryCount;
   }
 
-  private get share(): number {
-    return Math.max(1, this.entries());
+  private get entryCount(): number {
+    return Math.max(1, this.countEntries());
   }
 }
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,39 +1,41 @@
 /**
- * Whether a request starts now, waits, or is refused, at one entry. Made for
- * twice the work that the runners can do, for bursts of ten times the usual
- * and for one account that floods. What is refused was never started, and is
- * told when to come back.
+ * Admission control of one entry: decides whether a request starts now, waits
+ * in a queue, or is refused. Designed for a sustained load of twice the
+ * runners' capacity, for bursts of ten times the usual load, and for a single
+ * account that floods. A refused request was never started, and its refusal
+ * carries a time to retry after.
  */
 import { failure, type ErrorNumber } from "../internal.js";
 import { AccountLimits } from "./account-limits.js";
 import { MinHeap } from "./min-heap.js";
 import { PoolQueue } from "./pool-queue.js";
-import type { ProfileQueue, Waiting } from "./profile-queue.js";
+import type { ProfileQueue, QueuedRequest } from "./profile-queue.js";
 import type {
   AdmissionInputs,
   AdmissionRequest,
   AdmissionTuning,
-  Ended,
+  RequestCompletion,
   Offer,
 } from "./types.js";
 
-/** Sooner than this a repeat finds the same queue. */
-const SHORTEST_RETRY_MS = 100;
-/** Longer than this no prediction of a queue is worth anything. */
-const LONGEST_RETRY_MS = 60_000;
+/** A retry that comes sooner finds the queue unchanged. */
+const MINIMUM_RETRY_AFTER_MS = 100;
+/** Predictions of the queue further ahead are too inaccurate to use. */
+const MAXIMUM_RETRY_AFTER_MS = 60_000;
 
 /**
- * A queue as long as the deadlines allow serves no more than a shorter one,
- * but serves everybody late: what is started near its deadline is often cut.
+ * A queue as long as the deadlines allow has the same throughput as a shorter
+ * one, but requests that start close to their deadlines are often cut off.
  */
 const DEFAULT_TUNING: AdmissionTuning = { waitShare: 0.25, serviceMargin: 2 };
 
 /**
- * The margin takes this part of the deadline at most. Without a bound, a first
- * estimate that was too long refused every request of a profile, so that no
- * answer ever came to correct it.
+ * Maximum share of the time from arrival to deadline that the service margin
+ * may take. Without this bound, an initial estimate that was too long caused
+ * every request of a profile to be refused, so that no answer ever came to
+ * correct the estimate.
  */
-const MOST_MARGIN_SHARE = 0.5;
+const MAXIMUM_MARGIN_SHARE = 0.5;
 
 interface PoolState {
   readonly queue: PoolQueue;
@@ -43,8 +45,8 @@
 
 export class Admission {
   private readonly pools = new Map<string, PoolState>();
-  private readonly waiting = new Map<string, Waiting>();
-  private readonly giveUps = MinHeap.create<Waiting>();
+  private readonly waiting = new Map<string, QueuedRequest>();
+  private readonly giveUpTimes = MinHeap.create<QueuedRequest>();
   private readonly limits: AccountLimits;
   private readonly tuning: AdmissionTuning;
 
@@ -61,18 +63,18 @@
     return this.waiting.size;
   }
 
-  /** Earliest time at which `sweep` has something to give up. */
+  /** Earliest time at which `giveUpExpired` has a request to give up. */
   get nextGiveUpAtMs(): number {
-    return this.giveUps.leastKey;
+    return this.giveUpTimes.leastKey;
   }
 
   offer(request: AdmissionRequest): Offer {
     const pool = this.poolOf(request.pool);
-    const limited = this.chargeAccount(request);
-    if (limited !== undefined) return limited;
+    const limitRefusal = this.chargeAccount(request);
+    if (limitRefusal !== undefined) return limitRefusal;
     const queue = pool.queue.profileOf(request);
-    if (this.startNow(request, pool, queue)) return { kind: "admitted" };
-    const refused = this.checkDeadline(request, pool, queue);
+    if (this.tryStart(request, pool, queue)) return { kind: "admitted" };
+    const refused = this.checkQueueLimits(request, pool, queue);
     if (refused !== undefined) {
       this.refundAccount(request);
       return refused;
@@ -81,9 +83,9 @@
     return { kind: "queued" };
   }
 
-  /** Starts what may start. Called when room may have come up. */
+  /** Starts waiting requests. Call it when a runner may have capacity again. */
   drain(poolKey: string): void {
-    this.sweep();
+    this.giveUpExpired();
     const pool = this.poolOf(poolKey);
     for (;;) {
       const queue = pool.queue.nextProfile();
@@ -94,53 +96,57 @@
       pool.queue.startHead(queue, request);
       this.waiting.delete(request.id);
     }
-    this.tellEmptied(poolKey, pool);
+    this.reportIfEmptied(poolKey, pool);
   }
 
   /**
-   * Gives up what has waited too long or can't be finished any more, before
-   * it takes a runner's time. Called when the earliest such time has come.
+   * Gives up waiting requests that have waited too long or can no longer
+   * finish before their deadline, so that they don't take up a runner. Call it
+   * at `nextGiveUpAtMs`.
    */
-  sweep(): void {
+  giveUpExpired(): void {
     const nowMs = this.inputs.now();
-    while (this.giveUps.leastKey <= nowMs) {
-      const waiting = this.giveUps.pop();
-      if (waiting === undefined || waiting.left) continue;
-      const isLate = this.latestStart(waiting.request) <= nowMs;
-      this.abandon(waiting, isLate ? 1502 : 1503);
+    while (this.giveUpTimes.leastKey <= nowMs) {
+      const waiting = this.giveUpTimes.pop();
+      if (waiting === undefined || waiting.isRemoved) continue;
+      const isLate = this.latestStartAtMs(waiting.request) <= nowMs;
+      this.refuseWaiting(waiting, isLate ? 1502 : 1503);
     }
   }
 
-  /** A started request is over: frees its place and settles its cost. */
-  onEnded(request: AdmissionRequest, ended: Ended): void {
+  /**
+   * Call it when a started request has ended: frees its concurrency slot and
+   * replaces the estimated cost by the actual one.
+   */
+  onEnded(request: AdmissionRequest, ended: RequestCompletion): void {
     const pool = this.poolOf(request.pool);
     pool.queue.onEnded(request, ended.costTokens, ended.durationMs);
     const excess = ended.costTokens - request.costTokens;
-    this.limits.correct(request.account, excess);
+    this.limits.adjustCharge(request.account, excess);
     this.drain(request.pool);
   }
 
   /**
-   * The chosen runner's agent refused, or the attempt may be repeated: the
-   * request waits again, with the deadline it had.
+   * Queues a request again, with its original deadline, after the chosen
+   * runner's agent refused it or its attempt failed and may be repeated.
    */
   putBack(request: AdmissionRequest): void {
     const pool = this.poolOf(request.pool);
     pool.queue.onEnded(request, 0, undefined);
     const waiting = this.enqueue(request, pool, true);
-    if (this.latestGiveUp(request) > this.inputs.now()) return;
-    this.abandon(waiting, 1502);
+    if (this.giveUpAtMs(request) > this.inputs.now()) return;
+    this.refuseWaiting(waiting, 1502);
   }
 
-  /** The caller went away. True when the request was still waiting. */
+  /** Removes a request whose caller disconnected; true if it was waiting. */
   cancel(id: string): boolean {
     const waiting = this.waiting.get(id);
     if (waiting === undefined) return false;
-    this.leave(waiting);
+    this.removeWaiting(waiting);
     return true;
   }
 
-  private startNow(
+  private tryStart(
     request: AdmissionRequest,
     pool: PoolState,
     queue: ProfileQueue,
@@ -152,45 +158,49 @@
     return true;
   }
 
-  /** What can't be in time is refused now, not when its time is up. */
-  private checkDeadline(
+  /**
+   * Refuses a request at once if its predicted wait is too long for its
+   * deadline, or if the profile's queue has no space for it.
+   */
+  private checkQueueLimits(
     request: AdmissionRequest,
     pool: PoolState,
     queue: ProfileQueue,
   ): Offer | undefined {
     const nowMs = this.inputs.now();
     const waitMs = pool.queue.predictWaitMs(request);
-    const leftMs = this.latestGiveUp(request) - nowMs;
+    const leftMs = this.giveUpAtMs(request) - nowMs;
     const slackMs = leftMs * this.tuning.waitShare;
     if (waitMs >= slackMs) {
       return this.refuse(request, pool, 1502, waitMs - Math.max(0, slackMs));
     }
     const tokens = queue.waitingTokens + request.costTokens;
     if (tokens <= request.queue.maximumTokens) return undefined;
-    return this.makeRoom(request, pool, queue, waitMs);
+    return this.displaceHeavierAccounts(request, pool, queue, waitMs);
   }
 
   /**
-   * A full queue would refuse the small accounts for what the large one sent.
-   * So the youngest request of the account that has most for its weight goes,
-   * unless that is the newcomer's.
+   * Makes space in a full queue by refusing the newest requests of the account
+   * with the most waiting tokens per weight, or refuses the new request if its
+   * own account would have at least as many with it. Without this, an account
+   * that fills the queue would cause all other accounts to be refused.
    */
-  private makeRoom(
+  private displaceHeavierAccounts(
     request: AdmissionRequest,
     pool: PoolState,
     queue: ProfileQueue,
     waitMs: number,
   ): Offer | undefined {
     const { account, weight, costTokens } = request;
-    const own = queue.loadWith(account, weight, costTokens);
+    const own = queue.loadIncluding(account, weight, costTokens);
     for (;;) {
       const room = request.queue.maximumTokens - queue.waitingTokens;
       if (room >= costTokens) return undefined;
-      const heaviest = queue.heaviest();
+      const heaviest = queue.newestOfHeaviest();
       if (heaviest === undefined || heaviest.load <= own) {
         return this.refuse(request, pool, 1501, waitMs);
       }
-      this.abandon(heaviest.waiting, 1505);
+      this.refuseWaiting(heaviest.waiting, 1505);
     }
   }
 
@@ -198,31 +208,31 @@
     request: AdmissionRequest,
     pool: PoolState,
     atFront = false,
-  ): Waiting {
+  ): QueuedRequest {
     if (pool.queue.waitingCount === 0) {
       pool.queuedSinceMs = this.inputs.now();
       pool.refused = 0;
       this.inputs.emit(153, { pool: request.pool });
     }
-    const standing = pool.queue.standingOf(request.account);
-    const waiting = { request, standing, left: false };
-    pool.queue.push(waiting, atFront);
+    const account = pool.queue.accountStateOf(request.account);
+    const waiting = { request, account, isRemoved: false };
+    pool.queue.enqueue(waiting, atFront);
     this.waiting.set(request.id, waiting);
-    this.giveUps.push(this.latestGiveUp(request), waiting);
+    this.giveUpTimes.push(this.giveUpAtMs(request), waiting);
     return waiting;
   }
 
-  private leave(waiting: Waiting): void {
+  private removeWaiting(waiting: QueuedRequest): void {
     const { request } = waiting;
-    this.poolOf(request.pool).queue.leave(waiting);
+    this.poolOf(request.pool).queue.remove(waiting);
     this.waiting.delete(request.id);
     this.refundAccount(request);
   }
 
-  private abandon(waiting: Waiting, error: ErrorNumber): void {
+  private refuseWaiting(waiting: QueuedRequest, error: ErrorNumber): void {
     const { request } = waiting;
     const pool = this.poolOf(request.pool);
-    this.leave(waiting);
+    this.removeWaiting(waiting);
     const waitMs = pool.queue.predictWaitMs(request);
     const { error: reason, retryAfterMs } = this.refuse(
       request,
@@ -241,15 +251,15 @@
   ): Extract<Offer, { kind: "refused" }> {
     pool.refused += 1;
     const detail = { account: request.account, profile: request.profile };
-    const retryAfterMs = this.retryAfter(waitMs);
+    const retryAfterMs = this.computeRetryAfterMs(waitMs);
     return { kind: "refused", error: failure(error, detail), retryAfterMs };
   }
 
-  /** Spread over twice the time, so that the refused don't return at once. */
-  private retryAfter(waitMs: number): number {
-    const spread =
-      Math.max(SHORTEST_RETRY_MS, waitMs) * (1 + this.inputs.random());
-    return Math.ceil(Math.min(LONGEST_RETRY_MS, spread));
+  /** Adds up to 100% of jitter so that refused callers don't retry at once. */
+  private computeRetryAfterMs(waitMs: number): number {
+    const jitteredMs =
+      Math.max(MINIMUM_RETRY_AFTER_MS, waitMs) * (1 + this.inputs.random());
+    return Math.ceil(Math.min(MAXIMUM_RETRY_AFTER_MS, jitteredMs));
   }
 
   private chargeAccount(request: AdmissionRequest): Offer | undefined {
@@ -261,10 +271,10 @@
   }
 
   private refundAccount({ account, costTokens }: AdmissionRequest): void {
-    this.limits.correct(account, -costTokens);
+    this.limits.adjustCharge(account, -costTokens);
   }
 
-  private tellEmptied(key: string, pool: PoolState): void {
+  private reportIfEmptied(key: string, pool: PoolState): void {
     if (pool.queuedSinceMs === 0 || pool.queue.waitingCount > 0) return;
     const durationMs = this.inputs.now() - pool.queuedSinceMs;
     this.inputs.emit(154, { pool: key, durationMs, refused: pool.refused });
@@ -272,24 +282,24 @@
   }
 
   private poolOf(key: string): PoolState {
-    const known = this.pools.get(key);
-    if (known !== undefined) return known;
+    const existing = this.pools.get(key);
+    if (existing !== undefined) return existing;
     const pool = { queue: PoolQueue.create(), queuedSinceMs: 0, refused: 0 };
     this.pools.set(key, pool);
     return pool;
   }
 
-  /** Started later, it can hardly be finished within its deadline. */
-  private latestStart(request: AdmissionRequest): number {
+  /** A request that starts later is unlikely to meet its deadline. */
+  private latestStartAtMs(request: AdmissionRequest): number {
     const { arrivedAtMs, deadlineAtMs, serviceMs } = request;
-    const mostMs = (deadlineAtMs - arrivedAtMs) * MOST_MARGIN_SHARE;
+    const maximumMarginMs = (deadlineAtMs - arrivedAtMs) * MAXIMUM_MARGIN_SHARE;
     const marginMs = serviceMs * this.tuning.serviceMargin;
-    return deadlineAtMs - Math.min(mostMs, marginMs);
+    return deadlineAtMs - Math.min(maximumMarginMs, marginMs);
   }
 
-  private latestGiveUp(request: AdmissionRequest): number {
+  private giveUpAtMs(request: AdmissionRequest): number {
     const { arrivedAtMs, queue } = request;
-    const longestMs = arrivedAtMs + queue.maximumWaitMs;
-    return Math.min(this.latestStart(request), longestMs);
+    const maximumWaitAtMs = arrivedAtMs + queue.maximumWaitMs;
+    return Math.min(this.latestStartAtMs(request), maximumWaitAtMs);
   }
 }
--- a/src/admission/agent-limit.ts
+++ b/src/admission/agent-limit.ts
@@ -1,8 +1,8 @@
 /**
- * The agent's own limit: the last word on what its engine gets. Made for many
- * entries that all saw the same free slot in the same late report: without it
- * the engine's queue would grow by one request of each entry, where neither
- * fairness nor deadlines are looked at.
+ * Concurrency limit that an agent enforces for its engine. Entries decide on
+ * delayed load reports, so many of them may see the same free slot. Without
+ * this limit, each would add a request to the engine's queue, which considers
+ * neither fairness nor deadlines.
  */
 
 export interface AgentLimitSettings {
@@ -13,17 +13,20 @@
 }
 
 /**
- * Part of the queue that only the first priority may use, so that the others
- * can't make the agent refuse it.
+ * Share of the queue that is reserved for the highest priority, so that an
+ * agent filled by lower priorities doesn't refuse it.
  */
-const RESERVED_SHARE = 0.5;
+const RESERVED_QUEUE_SHARE = 0.5;
 const RESERVED_FOR_PRIORITY = 0;
-/** Requests that an entry may have above the mean beyond the slots. */
-const OVER_MEAN = 2;
+/**
+ * Requests that an entry may have running above the mean of all entries once
+ * the slots are in use.
+ */
+const MAXIMUM_REQUESTS_OVER_MEAN = 2;
 
 export class AgentLimit {
   private running = 0;
-  private readonly byEntry = new Map<string, number>();
+  private readonly runningByEntry = new Map<string, number>();
 
   private constructor(private readonly settings: AgentLimitSettings) {}
 
@@ -35,41 +38,43 @@
     return this.running;
   }
 
-  /** Takes a place; false when the attempt has to be refused. */
+  /** Counts a started attempt; false if it has to be refused. */
   enter(priority: number, entry: string): boolean {
     if (this.running >= attemptLimit(this.settings, priority)) return false;
-    if (priority !== RESERVED_FOR_PRIORITY && this.isOverShare(entry)) {
+    if (priority !== RESERVED_FOR_PRIORITY && this.isOverFairShare(entry)) {
       return false;
     }
     this.running += 1;
-    this.byEntry.set(entry, (this.byEntry.get(entry) ?? 0) + 1);
+    this.runningByEntry.set(entry, (this.runningByEntry.get(entry) ?? 0) + 1);
     return true;
   }
 
   leave(entry: string): void {
     this.running = Math.max(0, this.running - 1);
-    const left = (this.byEntry.get(entry) ?? 0) - 1;
-    if (left > 0) this.byEntry.set(entry, left);
-    else this.byEntry.delete(entry);
+    const remaining = (this.runningByEntry.get(entry) ?? 0) - 1;
+    if (remaining > 0) this.runningByEntry.set(entry, remaining);
+    else this.runningByEntry.delete(entry);
   }
 
   /**
-   * Beyond the slots, an entry far above the mean of the entries has to wait. An entry replaces each of its ended requests at once, so without
-   * this the one that came first keeps the runners: of three entries under
-   * twice the load, one had 63 requests running and another 14.
+   * Once the slots are in use, an entry far above the mean of the entries is
+   * refused. Entries replace each ended request at once, so without this rule
+   * the entry that came first keeps its excess: of three entries at twice the
+   * capacity, one had 63 requests running and another 14.
    */
-  private isOverShare(entry: string): boolean {
+  private isOverFairShare(entry: string): boolean {
     if (this.running < this.settings.slots) return false;
-    const own = this.byEntry.get(entry) ?? 0;
-    const entries = this.byEntry.size + (own === 0 ? 1 : 0);
-    return own > OVER_MEAN + this.running / entries;
+    const own = this.runningByEntry.get(entry) ?? 0;
+    const entries = this.runningByEntry.size + (own === 0 ? 1 : 0);
+    return own > MAXIMUM_REQUESTS_OVER_MEAN + this.running / entries;
   }
 }
 
 /**
- * Requests of a priority that an agent takes at once. Entries reckon with the
- * same number: when they knew one limit for all, two attempts in three of a
- * saturated pool were refused by agents.
+ * Maximum number of requests at an agent, including a new one of the given
+ * priority. Entries use the same number for placement: when they assumed one
+ * limit for all priorities, agents of a saturated pool refused two attempts in
+ * three.
  */
 export function attemptLimit(
   { slots, queueShare }: AgentLimitSettings,
@@ -77,15 +82,15 @@
 ): number {
   const queue = Math.ceil(slots * queueShare);
   if (priority === RESERVED_FOR_PRIORITY) return slots + queue;
-  return slots + Math.ceil(queue * (1 - RESERVED_SHARE));
+  return slots + Math.ceil(queue * (1 - RESERVED_QUEUE_SHARE));
 }
 
-/** As entries reckon with unless they are told otherwise. */
-const USUAL_QUEUE_SHARE = 0.5;
+/** Queue share that entries assume unless the settings give another. */
+const DEFAULT_QUEUE_SHARE = 0.5;
 
-/** The part of an agent's places that a priority may use. */
+/** Attempts of an agent's maximum that the given priority may use. */
 export function priorityLimit(attempts: number, priority: number): number {
-  const queueShare = USUAL_QUEUE_SHARE;
+  const queueShare = DEFAULT_QUEUE_SHARE;
   const slots = Math.max(1, Math.floor(attempts / (1 + queueShare)));
   return Math.min(attempts, attemptLimit({ slots, queueShare }, priority));
 }
--- a/src/admission/min-heap.ts
+++ b/src/admission/min-heap.ts
@@ -1,4 +1,4 @@
-/** Binary heap of items by a number that is fixed while they are inside. */
+/** Binary min-heap of items with numeric keys that don't change. */
 
 interface Node<T> {
   readonly key: number;
@@ -9,7 +9,7 @@
   private readonly nodes: Node<T>[] = [];
 
   private constructor() {
-    // Made by create.
+    // Instances come from create().
   }
 
   static create<T>(): MinHeap<T> {
@@ -24,7 +24,7 @@
     return this.nodes.at(0)?.key ?? Number.POSITIVE_INFINITY;
   }
 
-  get least(): T | undefined {
+  get minimum(): T | undefined {
     return this.nodes.at(0)?.item;
   }
 
@@ -34,9 +34,9 @@
     let index = nodes.length;
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      const above = nodes.at(parent);
-      if (above === undefined || above.key <= key) break;
-      nodes[index] = above;
+      const parentNode = nodes.at(parent);
+      if (parentNode === undefined || parentNode.key <= key) break;
+      nodes[index] = parentNode;
       index = parent;
     }
     nodes[index] = node;
@@ -44,15 +44,15 @@
 
   pop(): T | undefined {
     const { nodes } = this;
-    const least = nodes.at(0);
+    const root = nodes.at(0);
     const last = nodes.pop();
-    if (least === undefined || last === undefined) return undefined;
-    if (nodes.length > 0) this.sink(last);
-    return least.item;
+    if (root === undefined || last === undefined) return undefined;
+    if (nodes.length > 0) this.siftDown(last);
+    return root.item;
   }
 
-  /** Places a node at the root and moves it down to where it belongs. */
-  private sink(node: Node<T>): void {
+  /** Places a node at the root and moves it down until the heap is valid. */
+  private siftDown(node: Node<T>): void {
     const { nodes } = this;
     let index = 0;
     for (;;) {
@@ -60,11 +60,11 @@
       const right = left + 1;
       const rightKey = nodes.at(right)?.key ?? Number.POSITIVE_INFINITY;
       const leftKey = nodes.at(left)?.key ?? Number.POSITIVE_INFINITY;
-      const smaller = rightKey < leftKey ? right : left;
-      const child = nodes.at(smaller);
+      const smallerChild = rightKey < leftKey ? right : left;
+      const child = nodes.at(smallerChild);
       if (child === undefined || child.key >= node.key) break;
       nodes[index] = child;
-      index = smaller;
+      index = smallerChild;
     }
     nodes[index] = node;
   }
--- a/src/admission/output-estimate.ts
+++ b/src/admission/output-estimate.ts
@@ -1,37 +1,42 @@
 /**
- * Expected output of a request. Callers' limits are several times what is
- * used; charged by them, an account that leaves its limit high would get only
- * a part of its share, and half the queue would be refused for nothing.
+ * Estimates the output tokens of a request by a moving average over earlier
+ * answers. The output limit that callers set is several times what they use:
+ * if it were charged, accounts with high limits would get only a part of their
+ * share, and half the requests in the queue would be refused needlessly.
  */
 
-/** Share of a new answer in the mean: about the last twenty count. */
-const ANSWER_SHARE = 0.05;
-/** Before the first answer of an account under a profile. Low: see above. */
-const FIRST_ESTIMATE = 64;
+/** Weight of a new answer in the moving average, which spans about twenty. */
+const SMOOTHING_FACTOR = 0.05;
+/**
+ * Estimate before an account's first answer under a profile. It is low, since
+ * an estimate that is too high causes needless refusals.
+ */
+const INITIAL_ESTIMATE_TOKENS = 64;
 
 export class OutputEstimate {
-  private readonly means = new Map<string, number>();
+  private readonly meanTokens = new Map<string, number>();
 
   private constructor() {
-    // Made by create.
+    // Instances come from create().
   }
 
   static create(): OutputEstimate {
     return new OutputEstimate();
   }
 
-  /** In tokens; `limit` is the caller's own, if there is one. */
+  /** Expected output tokens, at most the caller's own `limit`. */
   expect(account: string, profile: string, limit?: number): number {
-    const mean = this.means.get(keyOf(account, profile)) ?? FIRST_ESTIMATE;
+    const mean =
+      this.meanTokens.get(keyOf(account, profile)) ?? INITIAL_ESTIMATE_TOKENS;
     return Math.min(mean, limit ?? Number.POSITIVE_INFINITY);
   }
 
   onAnswered(account: string, profile: string, tokens: number): void {
     const key = keyOf(account, profile);
-    const mean = this.means.get(key);
-    const share = mean === undefined ? 1 : ANSWER_SHARE;
-    const before = mean ?? 0;
-    this.means.set(key, before + share * (tokens - before));
+    const mean = this.meanTokens.get(key);
+    const weight = mean === undefined ? 1 : SMOOTHING_FACTOR;
+    const previousMean = mean ?? 0;
+    this.meanTokens.set(key, previousMean + weight * (tokens - previousMean));
   }
 }
 
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -1,36 +1,36 @@
 /**
- * Waiting and running work of one pool at one entry: profiles by priority, and
- * the time that a new request would wait.
+ * Waiting and running requests of one pool at one entry. Schedules the profiles
+ * by priority and predicts the queueing time of new requests.
  */
 import {
   ProfileQueue,
-  type AccountStanding,
-  type Waiting,
+  type AccountState,
+  type QueuedRequest,
 } from "./profile-queue.js";
 import type { AdmissionRequest } from "./types.js";
 
 /**
- * Part of the started work that goes to lower priorities while higher ones
- * wait. It bounds the wait of the lowest priority; more of it would cost the
- * highest one its deadlines.
+ * Share of the started work that goes to lower priorities while higher ones
+ * wait. It bounds the wait of the lowest priority; a larger share would make
+ * the highest priority miss its deadlines.
  */
-export const STARVATION_SHARE = 0.05;
-/** Share of a new answer in the mean duration. */
-const DURATION_SHARE = 0.05;
+export const LOWER_PRIORITY_SHARE = 0.05;
+/** Weight of a new answer in the moving average of durations. */
+const DURATION_SMOOTHING_FACTOR = 0.05;
 
 export class PoolQueue {
   private profiles: readonly ProfileQueue[] = [];
-  private readonly standings = new Map<string, AccountStanding>();
+  private readonly accountStates = new Map<string, AccountState>();
   private virtualTime = 0;
   private activeWeight = 0;
   /** Tokens that lower priorities may start ahead of higher ones. */
-  private lowerCredit = 0;
-  /** Running sums of cost times duration and of cost. */
-  private costDuration = 0;
-  private cost = 0;
+  private lowerPriorityCredit = 0;
+  /** Decaying sums of cost-weighted durations and of costs. */
+  private durationSum = 0;
+  private costSum = 0;
 
   private constructor() {
-    // Made by create.
+    // Instances come from create().
   }
 
   static create(): PoolQueue {
@@ -42,76 +42,78 @@
   }
 
   profileOf(request: AdmissionRequest): ProfileQueue {
-    const known = this.profiles.find(
+    const existing = this.profiles.find(
       ({ profile, priority, concurrency }) =>
         profile === request.profile &&
         priority === request.priority &&
         concurrency === request.concurrency,
     );
-    if (known !== undefined) return known;
+    if (existing !== undefined) return existing;
     const queue = ProfileQueue.create(request);
-    // Publications change profiles; what they left empty goes here.
+    // A new configuration may change profiles: drop the idle ones.
     const kept = this.profiles.filter(({ isIdle }) => !isIdle);
     this.profiles = [...kept, queue].sort((a, b) => a.priority - b.priority);
     return queue;
   }
 
-  standingOf(account: string): AccountStanding {
-    const known = this.standings.get(account);
-    if (known !== undefined) return known;
-    const standing = {
+  accountStateOf(account: string): AccountState {
+    const existing = this.accountStates.get(account);
+    if (existing !== undefined) return existing;
+    const state = {
       account,
       finishTag: this.virtualTime,
       runningTokens: 0,
       requests: 0,
       activeWeight: 0,
     };
-    this.standings.set(account, standing);
-    return standing;
+    this.accountStates.set(account, state);
+    return state;
   }
 
-  push(waiting: Waiting, atFront: boolean): void {
+  enqueue(waiting: QueuedRequest, atFront: boolean): void {
     const queue = this.profileOf(waiting.request);
-    queue.push(waiting, this.virtualTime, atFront);
+    queue.enqueue(waiting, this.virtualTime, atFront);
     this.countRequest(waiting.request, 1);
   }
 
-  /** Takes out a request that won't be served. */
-  leave(waiting: Waiting): void {
-    this.profileOf(waiting.request).leave(waiting);
+  /** Removes a waiting request that won't be started. */
+  remove(waiting: QueuedRequest): void {
+    this.profileOf(waiting.request).remove(waiting);
     this.countRequest(waiting.request, -1);
   }
 
-  /** Takes out the head of a profile, which starts. */
+  /** Removes the head of a profile's queue as it starts. */
   startHead(queue: ProfileQueue, request: AdmissionRequest): void {
     queue.takeHead(this.onStarted(request, queue));
     this.countRequest(request, -1);
   }
 
-  /** The profile whose head is served next. */
+  /** The profile whose head is to start next. */
   nextProfile(): ProfileQueue | undefined {
-    const ready = this.profiles.filter(({ mayStart }) => mayStart);
+    const ready = this.profiles.filter(({ canStart }) => canStart);
     const first = ready.at(0);
     if (first === undefined) return undefined;
     const starved = this.starvedProfile(ready, first.priority);
     if (starved !== undefined) return starved;
-    const equals = ready.filter(({ priority }) => priority === first.priority);
-    return leastTag(equals);
+    const samePriority = ready.filter(
+      ({ priority }) => priority === first.priority,
+    );
+    return withLowestTag(samePriority);
   }
 
-  /** Charges a request that starts. */
+  /** Charges a started request; returns the account's new finish tag. */
   onStarted(request: AdmissionRequest, queue: ProfileQueue): number {
     const { costTokens, weight, account } = request;
-    const standing = this.standingOf(account);
-    const startTag = Math.max(this.virtualTime, standing.finishTag);
-    standing.finishTag = startTag + costTokens / weight;
+    const state = this.accountStateOf(account);
+    const startTag = Math.max(this.virtualTime, state.finishTag);
+    state.finishTag = startTag + costTokens / weight;
     this.virtualTime = startTag;
     queue.running += 1;
     queue.runningTokens += costTokens;
-    standing.runningTokens += costTokens;
-    this.turnCredit(queue.priority, costTokens);
+    state.runningTokens += costTokens;
+    this.updateLowerPriorityCredit(queue.priority, costTokens);
     this.countRequest(request, 1);
-    return standing.finishTag;
+    return state.finishTag;
   }
 
   onEnded(
@@ -122,59 +124,66 @@
     const queue = this.profileOf(request);
     queue.running = Math.max(0, queue.running - 1);
     this.countRequest(request, -1);
-    const left = queue.runningTokens - request.costTokens;
-    queue.runningTokens = Math.max(0, left);
+    const remainingTokens = queue.runningTokens - request.costTokens;
+    queue.runningTokens = Math.max(0, remainingTokens);
     const excess = (costTokens - request.costTokens) / request.weight;
-    const standing = this.standingOf(request.account);
-    standing.finishTag += excess;
-    standing.runningTokens -= request.costTokens;
+    const state = this.accountStateOf(request.account);
+    state.finishTag += excess;
+    state.runningTokens -= request.costTokens;
     if (excess < 0) queue.onRefunded(request.account, this.virtualTime);
     if (durationMs === undefined) return;
-    const kept = 1 - DURATION_SHARE;
-    this.costDuration = kept * this.costDuration + costTokens * durationMs;
-    this.cost = kept * this.cost + costTokens;
+    const kept = 1 - DURATION_SMOOTHING_FACTOR;
+    this.durationSum = kept * this.durationSum + costTokens * durationMs;
+    this.costSum = kept * this.costSum + costTokens;
   }
 
   /**
-   * Predicted wait of a new request; 0 while nothing is known. By Little's law
-   * the pool serves the tokens in flight once in their mean duration, also in
-   * the first moment of a burst, when the rate of answers still shows the idle
-   * time before. The account's line moves at its share of what is in flight,
-   * or at its fair share if that is more.
+   * Predicted wait of a new request; 0 before the first answer. By Little's
+   * law the pool serves the tokens in flight once per mean duration. This also
+   * holds at the start of a burst, when the rate of answers still reflects the
+   * idle time before it. The account's queue advances at its share of the
+   * tokens in flight, or at its fair share if that is larger.
    */
   predictWaitMs(request: AdmissionRequest): number {
-    if (this.cost === 0) return 0;
+    if (this.costSum === 0) return 0;
     const queue = this.profileOf(request);
     const { account, weight, priority } = request;
     const higher = this.profiles.filter((other) => other.priority < priority);
     const inFlight = sum(this.profiles, ({ runningTokens }) => runningTokens);
-    const taken = sum(higher, ({ runningTokens }) => runningTokens);
-    const open = Math.max(inFlight - taken, STARVATION_SHARE * inFlight);
-    if (open <= 0) return 0;
-    const standing = this.standingOf(account);
-    const others = this.activeWeight - standing.activeWeight;
+    const higherPriorityTokens = sum(
+      higher,
+      ({ runningTokens }) => runningTokens,
+    );
+    const availableTokens = Math.max(
+      inFlight - higherPriorityTokens,
+      LOWER_PRIORITY_SHARE * inFlight,
+    );
+    if (availableTokens <= 0) return 0;
+    const state = this.accountStateOf(account);
+    const others = this.activeWeight - state.activeWeight;
     const fairShare = weight / (others + weight);
-    const share = Math.max(fairShare, standing.runningTokens / open);
-    const ahead =
+    const share = Math.max(fairShare, state.runningTokens / availableTokens);
+    const tokensAhead =
       sum(higher, ({ waitingTokens }) => waitingTokens) +
       queue.waitingTokensOf(account) / Math.min(1, share);
-    return (ahead / open) * (this.costDuration / this.cost);
+    return (tokensAhead / availableTokens) * (this.durationSum / this.costSum);
   }
 
   /**
-   * Accounts with running work count as active too. Counting only those that
-   * wait at the moment promised a flooding account more than it got, and its
-   * requests were given up after nine seconds in place of refused at once.
+   * Tracks the total weight of active accounts, which includes those that only
+   * have running requests. When only accounts with waiting requests counted,
+   * the predicted waits of a flooding account were too short, and its requests
+   * were given up after nine seconds instead of refused at once.
    */
   private countRequest(
     { account, weight }: AdmissionRequest,
     change: number,
   ): void {
-    const standing = this.standingOf(account);
-    standing.requests += change;
-    const active = standing.requests > 0 ? weight : 0;
-    this.activeWeight += active - standing.activeWeight;
-    standing.activeWeight = active;
+    const state = this.accountStateOf(account);
+    state.requests += change;
+    const active = state.requests > 0 ? weight : 0;
+    this.activeWeight += active - state.activeWeight;
+    state.activeWeight = active;
   }
 
   private starvedProfile(
@@ -182,63 +191,71 @@
     highest: number,
   ): ProfileQueue | undefined {
     const lower = ready.filter(({ priority }) => priority > highest);
-    const oldest = longestWaiting(lower);
+    const oldest = withOldestHead(lower);
     const cost = oldest?.head()?.waiting.request.costTokens;
-    if (cost === undefined || this.lowerCredit < cost) return undefined;
+    if (cost === undefined || this.lowerPriorityCredit < cost) return undefined;
     return oldest;
   }
 
-  /** Work of high priority earns credit for the lower ones that wait. */
-  private turnCredit(priority: number, costTokens: number): void {
-    const waits = (queue: ProfileQueue): boolean => queue.mayStart;
-    const lowerWaits = this.profiles.some(
-      (queue) => queue.priority > priority && waits(queue),
+  /**
+   * Adds credit for waiting lower priorities when a request starts, or spends
+   * it if the request started ahead of a higher priority.
+   */
+  private updateLowerPriorityCredit(
+    priority: number,
+    costTokens: number,
+  ): void {
+    const isReady = (queue: ProfileQueue): boolean => queue.canStart;
+    const isLowerWaiting = this.profiles.some(
+      (queue) => queue.priority > priority && isReady(queue),
     );
-    if (lowerWaits) {
-      this.lowerCredit += costTokens * STARVATION_SHARE;
+    if (isLowerWaiting) {
+      this.lowerPriorityCredit += costTokens * LOWER_PRIORITY_SHARE;
       return;
     }
-    const higherWaits = this.profiles.some(
-      (queue) => queue.priority < priority && waits(queue),
+    const isHigherWaiting = this.profiles.some(
+      (queue) => queue.priority < priority && isReady(queue),
     );
-    this.lowerCredit = higherWaits
-      ? Math.max(0, this.lowerCredit - costTokens)
+    this.lowerPriorityCredit = isHigherWaiting
+      ? Math.max(0, this.lowerPriorityCredit - costTokens)
       : 0;
   }
 }
 
 function sum(
   queues: readonly ProfileQueue[],
-  of: (queue: ProfileQueue) => number,
+  valueOf: (queue: ProfileQueue) => number,
 ): number {
   let total = 0;
-  for (const queue of queues) total += of(queue);
+  for (const queue of queues) total += valueOf(queue);
   return total;
 }
 
-function leastTag(queues: readonly ProfileQueue[]): ProfileQueue | undefined {
-  let least: ProfileQueue | undefined;
-  let leastTag = Number.POSITIVE_INFINITY;
+function withLowestTag(
+  queues: readonly ProfileQueue[],
+): ProfileQueue | undefined {
+  let lowest: ProfileQueue | undefined;
+  let lowestTag = Number.POSITIVE_INFINITY;
   for (const queue of queues) {
     const tag = queue.head()?.tag;
-    if (tag === undefined || tag >= leastTag) continue;
-    least = queue;
-    leastTag = tag;
+    if (tag === undefined || tag >= lowestTag) continue;
+    lowest = queue;
+    lowestTag = tag;
   }
-  return least;
+  return lowest;
 }
 
-function longestWaiting(
+function withOldestHead(
   queues: readonly ProfileQueue[],
 ): ProfileQueue | undefined {
-  let longest: ProfileQueue | undefined;
+  let oldest: ProfileQueue | undefined;
   let arrivedAtMs = Number.POSITIVE_INFINITY;
   for (const queue of queues) {
     const head = queue.head();
     if (head === undefined) continue;
     if (head.waiting.request.arrivedAtMs >= arrivedAtMs) continue;
-    longest = queue;
+    oldest = queue;
     arrivedAtMs = head.waiting.request.arrivedAtMs;
   }
-  return longest;
+  return oldest;
 }
--- a/src/admission/profile-queue.ts
+++ b/src/admission/profile-queue.ts
@@ -1,44 +1,44 @@
 /**
- * Waiting requests of one profile: one first-in-first-out line for each client
- * account, served in the order of start tags (start-time fair queueing, Goyal
- * et al. 1996). Cost counts, not the number of requests, so an account with
- * long prompts can't crowd out one with short ones.
+ * Waiting requests of one profile: a FIFO queue per client account, served in
+ * the order of start tags (start-time fair queueing, Goyal et al. 1996). Shares
+ * are measured in cost, not in requests, so an account with long prompts can't
+ * crowd out one with short prompts.
  */
 import { MinHeap } from "./min-heap.js";
 import type { AdmissionRequest } from "./types.js";
 
-/** An account's standing in a pool, over all profiles. */
-export interface AccountStanding {
+/** Scheduling state of an account in a pool, across all profiles. */
+export interface AccountState {
   readonly account: string;
-  /** Virtual time at which its work so far is paid for. */
+  /** Virtual finish time of the work that it has started. */
   finishTag: number;
   runningTokens: number;
-  /** Requests waiting or running. */
+  /** Requests that are waiting or running. */
   requests: number;
-  /** As counted among the active accounts; 0 when it has no requests. */
+  /** Its part of the pool's active weight; 0 when it has no requests. */
   activeWeight: number;
 }
 
-export interface Waiting {
+export interface QueuedRequest {
   readonly request: AdmissionRequest;
-  readonly standing: AccountStanding;
-  /** Set once it has left the queue by any way. */
-  left: boolean;
+  readonly account: AccountState;
+  /** True once it was started, refused or cancelled. */
+  isRemoved: boolean;
 }
 
-interface Line {
-  readonly standing: AccountStanding;
+interface AccountQueue {
+  readonly account: AccountState;
   readonly weight: number;
-  readonly waiting: Waiting[];
-  /** Index of the first that may still be waiting. */
-  first: number;
+  readonly requests: QueuedRequest[];
+  /** Index of the first request that may still be waiting. */
+  head: number;
   tokens: number;
-  /** Its place in the order; infinite when it has none. */
-  tag: number;
+  /** Key of its current heap node; infinite when it has none. */
+  startTag: number;
 }
 
-/** Entries of a line that are served and dropped in one go. */
-const COMPACT_AFTER = 64;
+/** Removed requests at the front of a queue that trigger a compaction. */
+const COMPACTION_THRESHOLD = 64;
 
 export class ProfileQueue {
   readonly profile: string;
@@ -48,8 +48,8 @@
   runningTokens = 0;
   waitingTokens = 0;
   waitingCount = 0;
-  private readonly lines = new Map<string, Line>();
-  private readonly order = MinHeap.create<Line>();
+  private readonly accountQueues = new Map<string, AccountQueue>();
+  private readonly byStartTag = MinHeap.create<AccountQueue>();
 
   private constructor({ profile, priority, concurrency }: AdmissionRequest) {
     this.profile = profile;
@@ -61,7 +61,7 @@
     return new ProfileQueue(first);
   }
 
-  get mayStart(): boolean {
+  get canStart(): boolean {
     return this.waitingCount > 0 && this.running < this.concurrency;
   }
 
@@ -69,118 +69,122 @@
     return this.running === 0 && this.waitingCount === 0;
   }
 
-  push(waiting: Waiting, virtualTime: number, atFront: boolean): void {
-    const line = this.lineOf(waiting);
-    if (atFront) line.waiting.splice(line.first, 0, waiting);
-    else line.waiting.push(waiting);
-    this.count(line, waiting.request.costTokens, 1);
-    this.retag(line, virtualTime);
+  enqueue(waiting: QueuedRequest, virtualTime: number, atFront: boolean): void {
+    const queue = this.accountQueueOf(waiting);
+    if (atFront) queue.requests.splice(queue.head, 0, waiting);
+    else queue.requests.push(waiting);
+    this.addTo(queue, waiting.request.costTokens, 1);
+    this.retag(queue, virtualTime);
   }
 
   /**
-   * Moves an account forward whose work was cheaper than it was charged for.
-   * Without this every refusal by an agent cost the account a turn.
+   * Advances the account's queue after a refund. Without this, every refusal by
+   * an agent cost the account a turn.
    */
   onRefunded(account: string, virtualTime: number): void {
-    const line = this.lines.get(account);
-    if (line !== undefined && line.tokens > 0) this.retag(line, virtualTime);
+    const queue = this.accountQueues.get(account);
+    if (queue !== undefined && queue.tokens > 0) this.retag(queue, virtualTime);
   }
 
-  /** The request that is served next, and its start tag. */
-  head(): { readonly waiting: Waiting; readonly tag: number } | undefined {
+  /** The request that is to start next, and its start tag. */
+  head():
+    { readonly waiting: QueuedRequest; readonly tag: number } | undefined {
     for (;;) {
-      const line = this.order.least;
-      if (line === undefined) return undefined;
-      const waiting = firstOf(line);
-      const tag = this.order.leastKey;
-      const isCurrent = tag === line.tag && waiting !== undefined;
-      if (isCurrent && line.standing.finishTag <= tag) return { waiting, tag };
-      // Moved or empty by now, or charged for other work: put right.
-      this.order.pop();
-      if (tag !== line.tag) continue;
-      line.tag = Number.POSITIVE_INFINITY;
-      if (waiting !== undefined) this.retag(line, tag);
+      const queue = this.byStartTag.minimum;
+      if (queue === undefined) return undefined;
+      const waiting = headOf(queue);
+      const tag = this.byStartTag.leastKey;
+      const isCurrent = tag === queue.startTag && waiting !== undefined;
+      if (isCurrent && queue.account.finishTag <= tag) return { waiting, tag };
+      // The heap node is outdated, or its queue is empty, or the account has
+      // been charged for other work since: remove the node, and retag the
+      // queue if it has requests and no newer node.
+      this.byStartTag.pop();
+      if (tag !== queue.startTag) continue;
+      queue.startTag = Number.POSITIVE_INFINITY;
+      if (waiting !== undefined) this.retag(queue, tag);
     }
   }
 
-  /** Takes the head out, whose tag moves on to `nextTag`. */
+  /** Removes the head; the next request of its account gets `nextTag`. */
   takeHead(nextTag: number): void {
-    const line = this.order.pop();
-    if (line === undefined) return;
-    line.tag = Number.POSITIVE_INFINITY;
-    const waiting = firstOf(line);
+    const queue = this.byStartTag.pop();
+    if (queue === undefined) return;
+    queue.startTag = Number.POSITIVE_INFINITY;
+    const waiting = headOf(queue);
     if (waiting === undefined) return;
-    this.leave(waiting);
-    if (firstOf(line) !== undefined) this.retag(line, nextTag);
+    this.remove(waiting);
+    if (headOf(queue) !== undefined) this.retag(queue, nextTag);
   }
 
-  /** Marks a waiting request as gone; its place is skipped later. */
-  leave(waiting: Waiting): void {
-    if (waiting.left) return;
-    waiting.left = true;
-    const line = this.lines.get(waiting.request.account);
-    if (line !== undefined) this.count(line, -waiting.request.costTokens, -1);
+  /** Marks a waiting request as removed; `headOf` skips it later. */
+  remove(waiting: QueuedRequest): void {
+    if (waiting.isRemoved) return;
+    waiting.isRemoved = true;
+    const queue = this.accountQueues.get(waiting.request.account);
+    if (queue !== undefined) this.addTo(queue, -waiting.request.costTokens, -1);
   }
 
   waitingTokensOf(account: string): number {
-    return this.lines.get(account)?.tokens ?? 0;
+    return this.accountQueues.get(account)?.tokens ?? 0;
   }
 
-  /** The youngest request of the account that has most for its weight. */
-  heaviest(): { readonly waiting: Waiting; readonly load: number } | undefined {
-    let most: Line | undefined;
-    for (const line of this.lines.values()) {
-      if (line.tokens === 0) continue;
-      if (most === undefined || loadOf(line) > loadOf(most)) most = line;
+  /** Newest request of the account with the most waiting tokens per weight. */
+  newestOfHeaviest():
+    { readonly waiting: QueuedRequest; readonly load: number } | undefined {
+    let most: AccountQueue | undefined;
+    for (const queue of this.accountQueues.values()) {
+      if (queue.tokens === 0) continue;
+      if (most === undefined || loadOf(queue) > loadOf(most)) most = queue;
     }
-    const waiting = most?.waiting.findLast(({ left }) => !left);
+    const waiting = most?.requests.findLast(({ isRemoved }) => !isRemoved);
     if (most === undefined || waiting === undefined) return undefined;
     return { waiting, load: loadOf(most) };
   }
 
-  loadWith(account: string, weight: number, tokens: number): number {
+  loadIncluding(account: string, weight: number, tokens: number): number {
     return (this.waitingTokensOf(account) + tokens) / weight;
   }
 
-  private lineOf({ request, standing }: Waiting): Line {
-    const known = this.lines.get(request.account);
-    if (known !== undefined) return known;
-    const line: Line = {
-      standing,
+  private accountQueueOf({ request, account }: QueuedRequest): AccountQueue {
+    const existing = this.accountQueues.get(request.account);
+    if (existing !== undefined) return existing;
+    const queue: AccountQueue = {
+      account,
       weight: request.weight,
-      waiting: [],
-      first: 0,
+      requests: [],
+      head: 0,
       tokens: 0,
-      tag: Number.POSITIVE_INFINITY,
+      startTag: Number.POSITIVE_INFINITY,
     };
-    this.lines.set(request.account, line);
-    return line;
+    this.accountQueues.set(request.account, queue);
+    return queue;
   }
 
-  /** Puts a line into the order, or forward in it; never back. */
-  private retag(line: Line, virtualTime: number): void {
-    const tag = Math.max(virtualTime, line.standing.finishTag);
-    if (tag >= line.tag) return;
-    line.tag = tag;
-    this.order.push(tag, line);
+  /** Adds a queue to the heap or lowers its start tag; never raises it. */
+  private retag(queue: AccountQueue, virtualTime: number): void {
+    const tag = Math.max(virtualTime, queue.account.finishTag);
+    if (tag >= queue.startTag) return;
+    queue.startTag = tag;
+    this.byStartTag.push(tag, queue);
   }
 
-  private count(line: Line, tokens: number, requests: number): void {
-    line.tokens += tokens;
+  private addTo(queue: AccountQueue, tokens: number, requests: number): void {
+    queue.tokens += tokens;
     this.waitingTokens += tokens;
     this.waitingCount += requests;
   }
 }
 
-function loadOf(line: Line): number {
-  return line.tokens / line.weight;
+function loadOf(queue: AccountQueue): number {
+  return queue.tokens / queue.weight;
 }
 
-function firstOf(line: Line): Waiting | undefined {
-  while (line.waiting.at(line.first)?.left === true) line.first += 1;
-  if (line.first > COMPACT_AFTER) {
-    line.waiting.splice(0, line.first);
-    line.first = 0;
+function headOf(queue: AccountQueue): QueuedRequest | undefined {
+  while (queue.requests.at(queue.head)?.isRemoved === true) queue.head += 1;
+  if (queue.head > COMPACTION_THRESHOLD) {
+    queue.requests.splice(0, queue.head);
+    queue.head = 0;
   }
-  return line.waiting.at(line.first);
+  return queue.requests.at(queue.head);
 }
--- a/src/admission/retry-allowance.ts
+++ b/src/admission/retry-allowance.ts
@@ -1,36 +1,36 @@
 /**
- * Repeated attempts of a pool at one entry come out of one allowance that
- * whole answers refill. Made for an outage: with a plain cap on attempts every
- * request is sent several times to runners that fail, and the same again to
- * those that come back.
+ * Limits the retries of one pool at one entry to a shared allowance that
+ * complete answers refill. With only a cap on the attempts of each request, an
+ * outage would multiply the load on the failing runners, and again on those
+ * that recover.
  */
 import type { Emit, Random } from "../internal.js";
 
-/** Most retries that can be saved up: a rack that fails takes about this. */
-const MOST_RETRIES = 20;
-/** Retries that one whole answer earns: at most one attempt more in ten. */
-const RETRIES_EACH_SUCCESS = 0.1;
-/** Attempts of one request, the first included. */
-const MOST_ATTEMPTS = 4;
-const FIRST_DELAY_MS = 25;
-const LONGEST_DELAY_MS = 2000;
+/** Capacity of the allowance: about the retries that a failed rack causes. */
+const DEFAULT_MAXIMUM_RETRIES = 20;
+/** Retries that a complete answer adds: at most 10% additional attempts. */
+const RETRIES_PER_SUCCESS = 0.1;
+/** Attempts of one request, including the first. */
+const MAXIMUM_ATTEMPTS = 4;
+const INITIAL_BACKOFF_MS = 25;
+const MAXIMUM_BACKOFF_MS = 2000;
 
 export interface RetryInputs {
   readonly pool: string;
   readonly random: Random;
   readonly emit: Emit;
-  /** Most retries that can be saved up; by default what a rack takes. */
+  /** Capacity of the allowance; `DEFAULT_MAXIMUM_RETRIES` if left out. */
   readonly mostRetries?: number;
 }
 
 export class RetryAllowance {
-  private retries: number;
+  private availableRetries: number;
   private isExhausted = false;
-  private readonly mostRetries: number;
+  private readonly maximumRetries: number;
 
   private constructor(private readonly inputs: RetryInputs) {
-    this.mostRetries = inputs.mostRetries ?? MOST_RETRIES;
-    this.retries = this.mostRetries;
+    this.maximumRetries = inputs.mostRetries ?? DEFAULT_MAXIMUM_RETRIES;
+    this.availableRetries = this.maximumRetries;
   }
 
   static create(inputs: RetryInputs): RetryAllowance {
@@ -38,32 +38,38 @@
   }
 
   /**
-   * Milliseconds to wait before the next attempt, undefined when there must be
-   * none. Called only for requests that may be repeated, or were proved not to
-   * have started.
+   * Takes a retry from the allowance and returns the delay before it in ms, or
+   * undefined if the request must not be retried. Call it only for requests
+   * that may be repeated or that provably weren't started.
    */
   spend(attemptsMade: number): number | undefined {
-    if (attemptsMade >= MOST_ATTEMPTS) return undefined;
-    if (this.retries < 1) {
-      this.tellExhausted();
+    if (attemptsMade >= MAXIMUM_ATTEMPTS) return undefined;
+    if (this.availableRetries < 1) {
+      this.reportExhausted();
       return undefined;
     }
-    this.retries -= 1;
-    const doubled = FIRST_DELAY_MS * 2 ** (attemptsMade - 1);
-    // Full jitter: requests broken by one failure don't return together.
-    return Math.min(LONGEST_DELAY_MS, doubled) * this.inputs.random();
+    this.availableRetries -= 1;
+    const backoffMs = INITIAL_BACKOFF_MS * 2 ** (attemptsMade - 1);
+    // Full jitter spreads the retries of requests that failed together.
+    return Math.min(MAXIMUM_BACKOFF_MS, backoffMs) * this.inputs.random();
   }
 
-  /** Time doesn't refill it: during an outage nothing would be learnt. */
+  /**
+   * Refills the allowance. Time doesn't refill it, since further retries during
+   * an outage would bring no new information.
+   */
   onSuccess(): void {
-    const { mostRetries } = this;
-    this.retries = Math.min(mostRetries, this.retries + RETRIES_EACH_SUCCESS);
-    if (!this.isExhausted || this.retries < mostRetries / 2) return;
+    const { maximumRetries } = this;
+    this.availableRetries = Math.min(
+      maximumRetries,
+      this.availableRetries + RETRIES_PER_SUCCESS,
+    );
+    if (!this.isExhausted || this.availableRetries < maximumRetries / 2) return;
     this.isExhausted = false;
     this.inputs.emit(156, { pool: this.inputs.pool });
   }
 
-  private tellExhausted(): void {
+  private reportExhausted(): void {
     if (this.isExhausted) return;
     this.isExhausted = true;
     this.inputs.emit(155, { pool: this.inputs.pool });
--- a/src/admission/types.ts
+++ b/src/admission/types.ts
@@ -1,13 +1,13 @@
-/** Types of admission: whether and when a request may start. */
+/** Types of admission control: whether and when a request may start. */
 import type { ApricotdeckError, Emit, Now, Random } from "../internal.js";
 
 export interface QueueBounds {
-  /** Most work of the profile waiting in one entry. */
+  /** Maximum cost of the profile's waiting requests at one entry. */
   readonly maximumTokens: number;
   readonly maximumWaitMs: number;
 }
 
-/** Limit of a client account over all entries together. */
+/** Token limit of a client account across all entries. */
 export interface AccountLimit {
   readonly tokensPerSecond: number;
   readonly burstTokens: number;
@@ -16,29 +16,29 @@
 export interface AdmissionRequest {
   readonly id: string;
   readonly account: string;
-  /** Share of the account against the others. */
+  /** The account's weight in the fair share among accounts. */
   readonly weight: number;
   readonly accountLimit?: AccountLimit;
-  /** Model or plain service. */
+  /** The model or plain service that the request is for. */
   readonly pool: string;
   readonly profile: string;
-  /** 0 is served first. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Prompt and expected output. */
+  /** Tokens of the prompt and of the expected output. */
   readonly costTokens: number;
-  /** Expected time from start to end. */
+  /** Expected time from the start of the request to its end. */
   readonly serviceMs: number;
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
   readonly queue: QueueBounds;
-  /** Requests of the profile running at once from this entry. */
+  /** Maximum number of the profile's requests running from this entry. */
   readonly concurrency: number;
 }
 
 export interface Refusal {
-  /** Its outcome is "not run". */
+  /** Its outcome is "not-run". */
   readonly error: ApricotdeckError;
-  /** When the client may come back with a chance of success. */
+  /** Time after which a retry has a chance of success. */
   readonly retryAfterMs: number;
 }
 
@@ -47,11 +47,11 @@
   | { readonly kind: "queued" }
   | ({ readonly kind: "refused" } & Refusal);
 
-/** What a started request came to. */
-export interface Ended {
-  /** Prompt and output as they were; the estimate when unknown. */
+/** Actual cost and duration of a started request. */
+export interface RequestCompletion {
+  /** Actual tokens of prompt and output; the estimate if they are unknown. */
   readonly costTokens: number;
-  /** From sending to the end; undefined when it tells nothing of the pool. */
+  /** Time from sending to the end; undefined if it says nothing of the pool. */
   readonly durationMs: number | undefined;
 }
 
@@ -59,19 +59,25 @@
   readonly now: Now;
   readonly random: Random;
   readonly emit: Emit;
-  /** Places and sends a request; false when no runner has room for it. */
+  /** Places and sends a request; false if no runner has capacity for it. */
   readonly start: (request: AdmissionRequest) => boolean;
-  /** Answers a queued request that was given up. Called at once. */
+  /** Called as soon as a waiting request is refused, to answer its caller. */
   readonly giveUp: (request: AdmissionRequest, refusal: Refusal) => void;
-  /** Live entries, this one included, as the VM list has them. */
+  /** Number of live entries in the VM list, including this one. */
   readonly entries: () => number;
   readonly tuning?: Partial<AdmissionTuning>;
 }
 
-/** Constants of the policy; docs/measurements/admission.md has the figures. */
+/** Policy constants; docs/measurements/admission.md has the measurements. */
 export interface AdmissionTuning {
-  /** Part of the time left that a request may be predicted to wait. */
+  /**
+   * Share of the time until a request has to start that its predicted wait may
+   * take.
+   */
   readonly waitShare: number;
-  /** Expected service times that must be left when a request starts. */
+  /**
+   * Time that must remain to the deadline when a request starts, as a multiple
+   * of its expected service time.
+   */
   readonly serviceMargin: number;
 }
--- a/src/placement/defaults.ts
+++ b/src/placement/defaults.ts
@@ -1,16 +1,16 @@
-/** Figures that hold where neither settings nor measurements say otherwise. */
+/** Defaults for what neither settings nor measurements provide. */
 import type { PlacementSettings, PlacementTuning } from "./types.js";
 
 export const DEFAULT_TUNING: PlacementTuning = {
   scanUpTo: 16,
   samples: 8,
-  holders: 4,
+  maximumHolders: 4,
   reportTrustMs: 300,
-  occupancyMs: 20,
-  slownessMemoryMs: 10_000,
+  occupancyPenaltyMs: 20,
+  slownessDecayMs: 10_000,
 };
 
-/** Half a millisecond one way between data centres, steps of 5 ms. */
+/** Assumes 0.5 ms one way between data centres and engine steps of 5 ms. */
 export function defaultPlacementSettings(
   dataCentre: string,
 ): PlacementSettings {
--- a/src/placement/health.ts
+++ b/src/placement/health.ts
@@ -1,28 +1,28 @@
 /**
- * Whether a runner gets work. Made for a runner that fails fast: it looks idle
- * and would draw all work to itself. After a few failures in a row it is left
- * out, then tried with one request at a time.
+ * Ejects a runner after consecutive failures and then probes it with one
+ * request at a time. Without this, a runner that fails fast would look idle and
+ * attract all requests.
  */
 import type { Random } from "../internal.js";
 
 /**
- * One failure may be the request's own fault; three in a row on different
- * requests are the runner's.
+ * Consecutive failures that eject a runner. A single one may be caused by the
+ * request; three different requests in a row point to the runner.
  */
-const FAILURES_TO_EJECT = 3;
-/** A restart of an engine takes seconds; a first probe after one second. */
-const FIRST_EJECTION_MS = 1000;
-/** A runner that came back waits this long at most for its next probe, ms. */
-const LONGEST_EJECTION_MS = 4000;
-/** Successful probes in a row before it gets work as the others do. */
+const FAILURE_LIMIT = 3;
+/** Time to the first probe; an engine takes seconds to restart. */
+const INITIAL_EJECTION_MS = 1000;
+/** Bounds how long a recovered runner waits for its next probe. */
+const MAXIMUM_EJECTION_MS = 4000;
+/** Consecutive successful probes that end an ejection. */
 const PROBES_TO_RECOVER = 2;
 
 export class RunnerHealth {
-  private failures = 0;
+  private consecutiveFailures = 0;
   private ejections = 0;
   private ejectedUntilMs = 0;
-  private probesPassed = 0;
-  private probeRunning = false;
+  private consecutivePassedProbes = 0;
+  private isProbeRunning = false;
 
   private constructor(private readonly random: Random) {}
 
@@ -34,51 +34,51 @@
     return this.ejections > 0;
   }
 
-  /** Time of the next probe; 0 for a runner that gets work. */
+  /** Time from which the next probe may start; 0 if not ejected. */
   get probeAtMs(): number {
     return this.ejectedUntilMs;
   }
 
   mayTake(nowMs: number): boolean {
     if (this.ejections === 0) return true;
-    return !this.probeRunning && nowMs >= this.ejectedUntilMs;
+    return !this.isProbeRunning && nowMs >= this.ejectedUntilMs;
   }
 
   onPlaced(): void {
-    if (this.ejections > 0) this.probeRunning = true;
+    if (this.ejections > 0) this.isProbeRunning = true;
   }
 
-  /** The attempt ended without telling anything about the runner. */
+  /** The attempt ended without showing whether the runner works. */
   onNoVerdict(): void {
-    this.probeRunning = false;
+    this.isProbeRunning = false;
   }
 
-  /** True when the runner has just recovered. */
+  /** True if this success ended the ejection. */
   onSucceeded(): boolean {
-    this.failures = 0;
-    this.probeRunning = false;
+    this.consecutiveFailures = 0;
+    this.isProbeRunning = false;
     if (this.ejections === 0) return false;
-    this.probesPassed += 1;
-    if (this.probesPassed < PROBES_TO_RECOVER) return false;
+    this.consecutivePassedProbes += 1;
+    if (this.consecutivePassedProbes < PROBES_TO_RECOVER) return false;
     this.ejections = 0;
     this.ejectedUntilMs = 0;
     return true;
   }
 
-  /** True when the runner has just been left out. */
+  /** True if this failure ejected the runner. */
   onFailed(nowMs: number): boolean {
-    this.failures += 1;
-    this.probeRunning = false;
-    this.probesPassed = 0;
+    this.consecutiveFailures += 1;
+    this.isProbeRunning = false;
+    this.consecutivePassedProbes = 0;
     const wasEjected = this.ejections > 0;
-    if (!wasEjected && this.failures < FAILURES_TO_EJECT) return false;
-    // Late failures of requests placed before the ejection are one and the
-    // same fault; counting each would double the wait many times over.
+    if (!wasEjected && this.consecutiveFailures < FAILURE_LIMIT) return false;
+    // Requests placed before the ejection may still fail from the same fault;
+    // counting each of them would double the wait many times over.
     if (wasEjected && nowMs < this.ejectedUntilMs) return false;
-    const doubled = FIRST_EJECTION_MS * 2 ** this.ejections;
-    const waitMs = Math.min(LONGEST_EJECTION_MS, doubled);
-    // Entries see the same failure at once; without jitter they would all
-    // probe at once as well.
+    const backoffMs = INITIAL_EJECTION_MS * 2 ** this.ejections;
+    const waitMs = Math.min(MAXIMUM_EJECTION_MS, backoffMs);
+    // Entries see the same failure at the same time; without jitter they would
+    // also probe at the same time.
     this.ejectedUntilMs = nowMs + waitMs * (0.5 + this.random() / 2);
     this.ejections += 1;
     return !wasEjected;
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,15 +1,15 @@
 /**
- * Chooses the backend server for one request, at one entry, without asking
- * anybody. Made for several thousand requests a second over 820 runners with
- * reports that are a second old: each choice compares the holders of the
- * request's prefix with a few runners drawn at random, by the predicted time
- * to the end of the answer.
+ * Chooses the backend server for each request at one entry, without remote
+ * calls. Designed for several thousand requests per second over 820 runners
+ * whose load reports are a second old. Each choice compares the runners that
+ * have the request's prefix cached with a random sample of the others, by the
+ * predicted time to the end of the answer.
  */
 import { Left, Right, type Either } from "purify-ts/Either";
 import { attemptLimit, failure, type ApricotdeckError } from "../internal.js";
 import { DEFAULT_TUNING } from "./defaults.js";
 import { Candidates, Pool } from "./pool.js";
-import { PrefixIndex, type Match } from "./prefix-index.js";
+import { PrefixIndex, type PrefixMatch } from "./prefix-index.js";
 import { RunnerState } from "./runner.js";
 import { predict, type Prediction } from "./prediction.js";
 import type {
@@ -23,7 +23,7 @@
   RunnerLoad,
 } from "./types.js";
 
-const NO_MATCHES: readonly Match[] = [];
+const NO_MATCHES: readonly PrefixMatch[] = [];
 
 export class Placement {
   private readonly runners = new Map<string, RunnerState>();
@@ -52,52 +52,53 @@
     return count;
   }
 
-  /** Takes in a runner, or what has changed of it. */
+  /** Adds a runner or updates its description. */
   setRunner(description: RunnerDescription): void {
-    const known = this.runners.get(description.runner);
-    if (known !== undefined) this.leavePools(known);
-    const state = known ?? RunnerState.create(description, this.inputs.random);
+    const existing = this.runners.get(description.runner);
+    if (existing !== undefined) this.removeFromPools(existing);
+    const state =
+      existing ?? RunnerState.create(description, this.inputs.random);
     state.description = description;
     this.runners.set(description.runner, state);
     for (const key of description.pools) this.poolOf(key).add(state);
   }
 
-  /** A runner that is leaving or gone gets nothing from here on. */
+  /** Excludes a runner that is leaving or gone from further choices. */
   removeRunner(runner: string): void {
     const state = this.runners.get(runner);
     if (state === undefined) return;
-    this.leavePools(state);
+    this.removeFromPools(state);
     this.runners.delete(runner);
   }
 
   choose(request: PlacementRequest): Either<ApricotdeckError, Choice> {
     const pool = this.pools.get(request.pool);
-    if (pool === undefined || pool.size === 0) return noRunner(request);
-    const matches = this.matchesOf(request);
+    if (pool === undefined || pool.size === 0) return noRunnerFailure(request);
+    const matches = this.findMatches(request);
     const best =
       this.bestOfSample(request, pool, matches) ??
       this.bestOfAll(request, pool, matches);
-    const chosen = best ?? lastResort(request, pool);
-    if (chosen === undefined) return noRunner(request);
+    const chosen = best ?? withEarliestProbe(request, pool);
+    if (chosen === undefined) return noRunnerFailure(request);
     const prediction = this.predict(chosen, request, pool, matches);
     const hasRoom = best !== undefined && prediction.hasRoom;
     return Right(toChoice(chosen, { ...prediction, hasRoom }));
   }
 
-  /** The chosen runner was sent the request. */
+  /** The request was sent to the chosen runner. */
   onStarted({ request, choice }: Placed): void {
     const state = this.runners.get(choice.runner);
     if (state === undefined) return;
-    state.addOwn(this.inputs.now(), 1);
+    state.changeOwnCount(this.inputs.now(), 1);
     state.health.onPlaced();
     this.prefixes.add(state, request.prefix);
     const tokens = request.promptTokens + request.outputTokens;
-    this.pools.get(request.pool)?.onRequest(choice.nominalMs, tokens);
+    this.pools.get(request.pool)?.recordRequest(choice.nominalMs, tokens);
   }
 
   /**
-   * The answer came whole, `serviceMs` after the runner had started it.
-   * `cachedTokens` is what the engine says it found in its cache, if it does.
+   * The answer completed, `serviceMs` after the runner had started the request.
+   * `cachedTokens` is the cache hit that the engine reports, if it does.
    */
   onEnded(placed: Placed, serviceMs: number, cachedTokens?: number): void {
     const state = this.release(placed);
@@ -105,8 +106,8 @@
     const { request, choice } = placed;
     if (choice.nominalMs > 0) {
       const ratio = serviceMs / choice.nominalMs;
-      const { slownessMemoryMs } = this.tuning;
-      state.onServed(this.inputs.now(), ratio, slownessMemoryMs);
+      const { slownessDecayMs } = this.tuning;
+      state.recordSlowness(this.inputs.now(), ratio, slownessDecayMs);
     }
     if (cachedTokens === 0 && choice.cachedTokens > 0) {
       this.prefixes.remove(state, request.prefix);
@@ -117,7 +118,7 @@
     }
   }
 
-  /** The runner broke the attempt, or its session did. */
+  /** The attempt failed because of the runner or of the session to it. */
   onFailed(placed: Placed): void {
     const state = this.release(placed);
     if (state === undefined) return;
@@ -125,18 +126,18 @@
     this.inputs.emit(151, { runner: state.name, pool: placed.request.pool });
   }
 
-  /** The agent refused at its own limit: full, not faulty. */
+  /** The agent refused the request at its limit, which isn't a fault. */
   onRefused(placed: Placed): void {
     const state = this.release(placed);
     if (state === undefined) return;
     const before = state.othersCount;
     const limit = this.limitOf(state, placed.request.priority);
     state.onFull(this.inputs.now(), limit);
-    this.tellPools(state, before);
+    this.updatePools(state, before);
     state.health.onNoVerdict();
   }
 
-  /** The caller went away: says nothing about the runner. */
+  /** The caller disconnected, which doesn't affect the runner's health. */
   onCancelled(placed: Placed): void {
     this.release(placed)?.health.onNoVerdict();
   }
@@ -147,7 +148,7 @@
     const before = state.othersCount;
     const { now, settings } = this.inputs;
     state.onReport(now(), load, settings.blockTokens);
-    this.tellPools(state, before);
+    this.updatePools(state, before);
   }
 
   onCacheEvent(event: CacheEvent): void {
@@ -155,15 +156,15 @@
     if (state !== undefined) this.prefixes.onEvent(state, event);
   }
 
-  private matchesOf(request: PlacementRequest): readonly Match[] {
+  private findMatches(request: PlacementRequest): readonly PrefixMatch[] {
     if (request.prefix.length === 0) return NO_MATCHES;
-    return this.prefixes.find(request.prefix, this.tuning.holders);
+    return this.prefixes.find(request.prefix, this.tuning.maximumHolders);
   }
 
   private bestOfSample(
     request: PlacementRequest,
     pool: Pool,
-    matches: readonly Match[],
+    matches: readonly PrefixMatch[],
   ): RunnerState | undefined {
     this.candidates.clear();
     for (const { runner } of matches) {
@@ -175,11 +176,11 @@
     return this.best(this.candidates.runners, request, pool, matches);
   }
 
-  /** Every sampled runner is left out or excluded: look at the whole pool. */
+  /** Searches the whole pool if every sampled runner is ejected or excluded. */
   private bestOfAll(
     request: PlacementRequest,
     pool: Pool,
-    matches: readonly Match[],
+    matches: readonly PrefixMatch[],
   ): RunnerState | undefined {
     if (pool.size <= this.tuning.scanUpTo) return undefined;
     return this.best(pool.runners, request, pool, matches);
@@ -189,7 +190,7 @@
     candidates: readonly RunnerState[],
     request: PlacementRequest,
     pool: Pool,
-    matches: readonly Match[],
+    matches: readonly PrefixMatch[],
   ): RunnerState | undefined {
     const nowMs = this.inputs.now();
     let best: RunnerState | undefined;
@@ -209,7 +210,7 @@
     state: RunnerState,
     request: PlacementRequest,
     pool: Pool,
-    matches: readonly Match[],
+    matches: readonly PrefixMatch[],
   ): Prediction {
     return predict(state, request, pool, matches, {
       nowMs: this.inputs.now(),
@@ -227,11 +228,11 @@
 
   private release({ choice }: Placed): RunnerState | undefined {
     const state = this.runners.get(choice.runner);
-    state?.addOwn(this.inputs.now(), -1);
+    state?.changeOwnCount(this.inputs.now(), -1);
     return state;
   }
 
-  private tellPools(state: RunnerState, countBefore: number): void {
+  private updatePools(state: RunnerState, countBefore: number): void {
     const difference = state.othersCount - countBefore;
     if (difference === 0) return;
     for (const key of state.description.pools) {
@@ -239,13 +240,13 @@
     }
   }
 
-  private leavePools(state: RunnerState): void {
+  private removeFromPools(state: RunnerState): void {
     for (const key of state.description.pools) this.poolOf(key).remove(state);
   }
 
   private poolOf(key: string): Pool {
-    const known = this.pools.get(key);
-    if (known !== undefined) return known;
+    const existing = this.pools.get(key);
+    if (existing !== undefined) return existing;
     const pool = Pool.create(this.inputs.settings.dataCentre);
     this.pools.set(key, pool);
     return pool;
@@ -253,11 +254,11 @@
 }
 
 /**
- * All runners are left out: the one whose probe is due first, told to have no
- * room. A pool that fails as a whole is not given up: requests wait for the
- * next probe, a few seconds away, in place of breaking one after the other.
+ * Fallback if all runners are ejected: the one with the earliest probe, to be
+ * reported as having no room. Requests to a pool that fails as a whole then
+ * wait a few seconds for the next probe instead of failing one by one.
  */
-function lastResort(
+function withEarliestProbe(
   request: PlacementRequest,
   pool: Pool,
 ): RunnerState | undefined {
@@ -271,7 +272,9 @@
   return best;
 }
 
-function noRunner(request: PlacementRequest): Either<ApricotdeckError, never> {
+function noRunnerFailure(
+  request: PlacementRequest,
+): Either<ApricotdeckError, never> {
   return Left(failure(1209, { pool: request.pool }));
 }
 
--- a/src/placement/pool.ts
+++ b/src/placement/pool.ts
@@ -7,9 +7,9 @@
 export class Pool {
   private readonly members: RunnerState[] = [];
   private readonly localMembers: RunnerState[] = [];
-  /** Sum of the others' requests; gives the mean at no cost. */
-  private othersSum = 0;
-  /** Running mean of nominal work and of tokens a request. */
+  /** Sum of the runners' `othersCount`, so that `meanOthersCount` is cheap. */
+  private othersCountSum = 0;
+  /** Moving averages of nominal work and of tokens per request. */
   meanWorkMs = 1000;
   meanTokens = 500;
 
@@ -27,13 +27,13 @@
     return this.members;
   }
 
-  get meanOthers(): number {
-    return this.size === 0 ? 0 : this.othersSum / this.size;
+  get meanOthersCount(): number {
+    return this.size === 0 ? 0 : this.othersCountSum / this.size;
   }
 
   add(runner: RunnerState): void {
     this.members.push(runner);
-    this.othersSum += runner.othersCount;
+    this.othersCountSum += runner.othersCount;
     if (runner.description.dataCentre === this.dataCentre) {
       this.localMembers.push(runner);
     }
@@ -42,24 +42,24 @@
   remove(runner: RunnerState): void {
     removeFrom(this.members, runner);
     removeFrom(this.localMembers, runner);
-    this.othersSum -= runner.othersCount;
+    this.othersCountSum -= runner.othersCount;
   }
 
   onOthersChanged(difference: number): void {
-    this.othersSum += difference;
+    this.othersCountSum += difference;
   }
 
-  onRequest(workMs: number, tokens: number): void {
-    const SHARE = 0.02;
-    this.meanWorkMs += SHARE * (workMs - this.meanWorkMs);
-    this.meanTokens += SHARE * (tokens - this.meanTokens);
+  recordRequest(workMs: number, tokens: number): void {
+    const SMOOTHING_FACTOR = 0.02;
+    this.meanWorkMs += SMOOTHING_FACTOR * (workMs - this.meanWorkMs);
+    this.meanTokens += SMOOTHING_FACTOR * (tokens - this.meanTokens);
   }
 
   /**
-   * All runners of a small pool; else half of the samples from the own data
-   * centre and half from all. A full scan of a large pool costs more than a
-   * decision may, and many entries that all see the same least loaded runner
-   * in the same old reports would all send there.
+   * Adds all runners of a small pool. From a larger one it draws half of the
+   * samples from the entry's data centre and half from all runners: a full scan
+   * would take too long for one decision, and the entries, which all see the
+   * same old reports, would all choose the same least loaded runner.
    */
   sample(
     { scanUpTo, samples }: PlacementTuning,
@@ -67,25 +67,25 @@
     candidates: Candidates,
   ): void {
     if (this.members.length <= scanUpTo) {
-      // From a random start: entries that see ties don't all take the first.
+      // The random start keeps entries from all taking the first of a tie.
       const start = randomBelow(random, this.members.length);
       for (const runner of this.members.slice(start)) candidates.add(runner);
       for (const runner of this.members.slice(0, start)) candidates.add(runner);
       return;
     }
-    const local = this.localMembers.length > 0 ? samples >> 1 : 0;
-    draw(this.localMembers, local, random, candidates);
-    draw(this.members, samples - local, random, candidates);
+    const localCount = this.localMembers.length > 0 ? samples >> 1 : 0;
+    addRandomRunners(this.localMembers, localCount, random, candidates);
+    addRandomRunners(this.members, samples - localCount, random, candidates);
   }
 }
 
-/** Runners that one decision compares, each once; reused by the next one. */
+/** Set of the runners that a decision compares, reused between decisions. */
 export class Candidates {
-  private readonly chosen: RunnerState[] = [];
-  private decision = 0;
+  private readonly members: RunnerState[] = [];
+  private decisionNumber = 0;
 
   private constructor() {
-    // Made by create.
+    // Instances come from create().
   }
 
   static create(): Candidates {
@@ -93,29 +93,29 @@
   }
 
   get runners(): readonly RunnerState[] {
-    return this.chosen;
+    return this.members;
   }
 
   clear(): void {
-    this.chosen.length = 0;
-    this.decision += 1;
+    this.members.length = 0;
+    this.decisionNumber += 1;
   }
 
   add(runner: RunnerState): void {
-    if (runner.lastDecision === this.decision) return;
-    runner.lastDecision = this.decision;
-    this.chosen.push(runner);
+    if (runner.lastDecisionNumber === this.decisionNumber) return;
+    runner.lastDecisionNumber = this.decisionNumber;
+    this.members.push(runner);
   }
 }
 
-function draw(
-  from: readonly RunnerState[],
+function addRandomRunners(
+  runners: readonly RunnerState[],
   count: number,
   random: Random,
   candidates: Candidates,
 ): void {
   for (let drawn = 0; drawn < count; drawn += 1) {
-    candidates.add(from[randomBelow(random, from.length)]);
+    candidates.add(runners[randomBelow(random, runners.length)]);
   }
 }
 
--- a/src/placement/prediction.ts
+++ b/src/placement/prediction.ts
@@ -1,11 +1,10 @@
 /**
- * Predicted time of one request at one runner. All terms are milliseconds, so
- * that cache, distance, adapter and load weigh against one another without
- * weights of their own, and a prefix can't draw more work to its holder than
- * the prefill it saves is worth.
+ * Predicts how long a request takes at a runner. All terms are in milliseconds,
+ * so cache hits, distance, adapters and load can be added without weights, and
+ * a cached prefix attracts no more requests than its saved prefill is worth.
  */
 import type { Pool } from "./pool.js";
-import type { Match } from "./prefix-index.js";
+import type { PrefixMatch } from "./prefix-index.js";
 import type { RunnerState } from "./runner.js";
 import type {
   PlacementRequest,
@@ -17,12 +16,12 @@
   readonly nowMs: number;
   readonly settings: PlacementSettings;
   readonly tuning: PlacementTuning;
-  /** Requests that the runner's agent takes at once. */
+  /** Maximum number of requests that the runner's agent accepts. */
   readonly limit: number;
 }
 
 export interface Prediction {
-  /** What choices are compared by. */
+  /** Predicted total time and penalties; the lowest score is chosen. */
   readonly scoreMs: number;
   readonly waitMs: number;
   readonly nominalMs: number;
@@ -36,14 +35,14 @@
   runner: RunnerState,
   request: PlacementRequest,
   pool: Pool,
-  matches: readonly Match[],
+  matches: readonly PrefixMatch[],
   inputs: PredictionInputs,
 ): Prediction {
   const { settings, tuning, limit } = inputs;
   const { slots } = runner.description;
   const slowness = slownessOf(runner, inputs);
   const count = estimateCount(runner, pool, inputs);
-  const waitMs = (waitingWork(count, slots, pool) / slots) * slowness;
+  const waitMs = (queuedWorkMs(count, slots, pool) / slots) * slowness;
   const prefill = cheapestPrefill(runner, request, matches, settings);
   const outputMs = request.outputTokens * settings.stepMs;
   const nominalMs = prefill.ms + outputMs;
@@ -51,10 +50,10 @@
   const scoreMs =
     waitMs +
     serviceMs +
-    memoryWait(runner, request, serviceMs) +
-    (count / slots) * tuning.occupancyMs +
+    memoryWaitMs(runner, request, serviceMs) +
+    (count / slots) * tuning.occupancyPenaltyMs +
     settings.distanceMs(runner.description.dataCentre) +
-    adapterWait(runner, request, settings);
+    adapterWaitMs(runner, request, settings);
   const hasRoom = count < limit;
   const { cachedTokens, importFrom } = prefill;
   return {
@@ -69,10 +68,10 @@
 }
 
 /**
- * Requests at the runner: the own ones, known exactly, and those of the other
- * entries. What an old report says of the others is replaced by the mean of
- * the pool, not by zero: a runner that fell silent would look empty and draw
- * all work.
+ * Estimated number of requests at the runner: the exact number from this entry,
+ * plus those from other entries. As a report ages, the estimate for the others
+ * moves to the mean of the pool. If it moved to zero, a runner that stopped
+ * reporting would look idle and attract all requests.
  */
 function estimateCount(
   runner: RunnerState,
@@ -80,26 +79,29 @@
   { nowMs, tuning }: PredictionInputs,
 ): number {
   const ageMs = nowMs - runner.reportedAtMs;
-  const trust = Math.exp(-ageMs / tuning.reportTrustMs);
-  const others = trust * runner.othersCount + (1 - trust) * pool.meanOthers;
+  const reportWeight = Math.exp(-ageMs / tuning.reportTrustMs);
+  const others =
+    reportWeight * runner.othersCount +
+    (1 - reportWeight) * pool.meanOthersCount;
   return runner.ownCount + others;
 }
 
-/** Work that has to end before a further request gets a slot, in slot ms. */
-function waitingWork(count: number, slots: number, pool: Pool): number {
+/** Work that has to end before a new request gets a slot, in ms of one slot. */
+function queuedWorkMs(count: number, slots: number, pool: Pool): number {
   return Math.max(0, count - slots + 1) * pool.meanWorkMs;
 }
 
 /**
- * The group's step time tells of a slow runner before its requests end; the
- * durations of own requests tell of what reports don't show.
+ * The larger of two measures: the reported step time shows a slow runner before
+ * its requests end, and the durations of this entry's own requests show what
+ * reports don't cover.
  */
 function slownessOf(
   runner: RunnerState,
   { nowMs, settings, tuning }: PredictionInputs,
 ): number {
-  const seen = runner.slownessAt(nowMs, tuning.slownessMemoryMs);
-  return Math.max(seen, runner.stepMs / settings.stepMs);
+  const observedSlowness = runner.slownessAt(nowMs, tuning.slownessDecayMs);
+  return Math.max(observedSlowness, runner.stepMs / settings.stepMs);
 }
 
 interface Prefill {
@@ -108,42 +110,48 @@
   readonly importFrom: string | undefined;
 }
 
-/** From the own cache, by moving another's, or computed afresh. */
+/**
+ * Prefill with the runner's own cache, or with a longer prefix transferred from
+ * another runner's cache where that is faster.
+ */
 function cheapestPrefill(
   runner: RunnerState,
   request: PlacementRequest,
-  matches: readonly Match[],
+  matches: readonly PrefixMatch[],
   settings: PlacementSettings,
 ): Prefill {
   const { blockTokens, prefillMsPerToken, kvTransfer } = settings;
-  const prompt = request.promptTokens;
-  const own = matches.find((match) => match.runner === runner)?.blocks ?? 0;
-  const cachedTokens = Math.min(prompt, own * blockTokens);
-  const ms = (prompt - cachedTokens) * prefillMsPerToken;
+  const promptTokens = request.promptTokens;
+  const ownBlocks =
+    matches.find((match) => match.runner === runner)?.blocks ?? 0;
+  const cachedTokens = Math.min(promptTokens, ownBlocks * blockTokens);
+  const ms = (promptTokens - cachedTokens) * prefillMsPerToken;
   const longest = matches.at(0);
-  const alone = { ms, cachedTokens, importFrom: undefined };
-  if (kvTransfer === undefined || longest === undefined) return alone;
-  const moved = Math.min(prompt, longest.blocks * blockTokens) - cachedTokens;
-  const saving = moved * prefillMsPerToken;
-  const cost = kvTransfer.setupMs + moved * kvTransfer.msPerToken;
-  if (cost >= saving) return alone;
+  const withoutTransfer = { ms, cachedTokens, importFrom: undefined };
+  if (kvTransfer === undefined || longest === undefined) return withoutTransfer;
+  const transferredTokens =
+    Math.min(promptTokens, longest.blocks * blockTokens) - cachedTokens;
+  const savedMs = transferredTokens * prefillMsPerToken;
+  const transferMs =
+    kvTransfer.setupMs + transferredTokens * kvTransfer.msPerToken;
+  if (transferMs >= savedMs) return withoutTransfer;
   const importFrom = longest.runner.name;
-  return { ms: ms - saving + cost, cachedTokens, importFrom };
+  return { ms: ms - savedMs + transferMs, cachedTokens, importFrom };
 }
 
-/** A request that doesn't fit into KV memory waits for another to end. */
-function memoryWait(
+/** A request that doesn't fit into the KV cache waits for another to end. */
+function memoryWaitMs(
   runner: RunnerState,
   request: PlacementRequest,
   serviceMs: number,
 ): number {
-  const needed = request.promptTokens + request.outputTokens;
-  const missing = needed - runner.freeTokens;
-  if (missing <= 0) return 0;
-  return serviceMs * Math.min(1, missing / needed);
+  const neededTokens = request.promptTokens + request.outputTokens;
+  const missingTokens = neededTokens - runner.freeTokens;
+  if (missingTokens <= 0) return 0;
+  return serviceMs * Math.min(1, missingTokens / neededTokens);
 }
 
-function adapterWait(
+function adapterWaitMs(
   runner: RunnerState,
   { adapter }: PlacementRequest,
   settings: PlacementSettings,
--- a/src/placement/prefix-index.ts
+++ b/src/placement/prefix-index.ts
@@ -1,44 +1,45 @@
 /**
- * Which runners are believed to hold which prompt prefixes. Fed by cache
- * events, which come late and with gaps, by own placements (the runner holds
- * the prefix when it has served it) and by the cached tokens of answers.
- * Bounded in size; a wrong belief costs one prefill, never a wrong answer.
+ * Approximate index of the runners that have a prompt prefix in their cache.
+ * Sources are cache events, which are delayed and may be lost, placements of
+ * this entry (a runner that served a prefix has it cached) and the cached
+ * tokens reported with answers. The size is bounded. A wrong match costs one
+ * prefill, but never leads to a wrong answer.
  */
 import type { RunnerState } from "./runner.js";
 import type { CacheEvent } from "./types.js";
 
-/** Bounds the memory: docs/measurements/decisions.md gives bytes an entry. */
-const MOST_PREFIXES = 100_000;
-/** More holders than this don't help: the least loaded of them is enough. */
-const MOST_HOLDERS = 6;
-/** Lookups for one request; longer prompts are cut to their first blocks. */
-const MOST_BLOCKS = 32;
-/** An entry that outlived this many lost events of its runner is dropped. */
-const MOST_GAPS = 2;
+/** Bounds memory; docs/measurements/decisions.md has the bytes per prefix. */
+const MAXIMUM_PREFIXES = 100_000;
+/** Holders kept per prefix; more don't improve the choice of a free one. */
+const MAXIMUM_HOLDERS = 6;
+/** Blocks looked up per request; later blocks of a prompt are ignored. */
+const MAXIMUM_BLOCKS = 32;
+/** Event gaps of a runner since a holder was confirmed; more invalidate it. */
+const MAXIMUM_GAPS = 2;
 
 interface Holder {
   readonly runner: RunnerState;
-  /** Gaps of the runner's events when the entry was confirmed last. */
+  /** The runner's `cacheGaps` when the holder was last confirmed. */
   gaps: number;
 }
 
-export interface Match {
+export interface PrefixMatch {
   readonly runner: RunnerState;
-  /** Blocks of the prompt that the runner holds. */
+  /** Leading blocks of the prompt that the runner has cached. */
   readonly blocks: number;
 }
 
 export class PrefixIndex {
   /**
-   * Two generations: what isn't used while the younger one fills up is dropped
-   * with the older one. Dropping the oldest entry of one map instead took
-   * milliseconds, since a map steps over all its deleted entries.
+   * Two generations: when the young one is full, the old one is dropped, with
+   * all prefixes not added again meanwhile. Evicting the oldest key of a single
+   * map took milliseconds, since iterating a map steps over deleted keys.
    */
   private young = new Map<number, Holder[]>();
   private old = new Map<number, Holder[]>();
 
   private constructor() {
-    // Made by create.
+    // Instances come from create().
   }
 
   static create(): PrefixIndex {
@@ -49,15 +50,15 @@
     return this.young.size + this.old.size;
   }
 
-  /** Longest matches first, at most `limit` runners. */
-  find(prefix: readonly number[], limit: number): readonly Match[] {
-    const matches: Match[] = [];
-    const last = Math.min(prefix.length, MOST_BLOCKS);
+  /** Matches by descending length, for at most `limit` runners. */
+  find(prefix: readonly number[], limit: number): readonly PrefixMatch[] {
+    const matches: PrefixMatch[] = [];
+    const last = Math.min(prefix.length, MAXIMUM_BLOCKS);
     for (let blocks = last; blocks > 0; blocks -= 1) {
-      const known = this.holdersOf(prefix[blocks - 1]);
-      if (known === undefined) continue;
-      for (const holder of known) {
-        if (holder.runner.cacheGaps - holder.gaps > MOST_GAPS) continue;
+      const holders = this.holdersOf(prefix[blocks - 1]);
+      if (holders === undefined) continue;
+      for (const holder of holders) {
+        if (holder.runner.cacheGaps - holder.gaps > MAXIMUM_GAPS) continue;
         if (matches.some(({ runner }) => runner === holder.runner)) continue;
         matches.push({ runner: holder.runner, blocks });
         if (matches.length >= limit) return matches;
@@ -70,25 +71,25 @@
     if (event.sequence > runner.cacheSequence + 1) runner.cacheGaps += 1;
     if (event.sequence <= runner.cacheSequence) return;
     runner.cacheSequence = event.sequence;
-    // Raising the gap count beyond the limit drops all of the runner's
-    // entries at once, without a scan.
-    if (event.kind === "cleared") runner.cacheGaps += MOST_GAPS + 1;
+    // Raising the gap count above the maximum invalidates all of the runner's
+    // holders at once, without a scan.
+    if (event.kind === "cleared") runner.cacheGaps += MAXIMUM_GAPS + 1;
     if (event.kind === "stored") this.add(runner, event.hashes);
     if (event.kind === "removed") this.remove(runner, event.hashes);
   }
 
   add(runner: RunnerState, prefix: readonly number[]): void {
-    const last = Math.min(prefix.length, MOST_BLOCKS);
+    const last = Math.min(prefix.length, MAXIMUM_BLOCKS);
     for (let index = 0; index < last; index += 1) {
-      this.addOne(runner, prefix[index]);
+      this.addHolder(runner, prefix[index]);
     }
   }
 
   remove(runner: RunnerState, hashes: readonly number[]): void {
     for (const hash of hashes) {
-      const known = this.holdersOf(hash);
-      const index = known?.findIndex((holder) => holder.runner === runner);
-      if (index !== undefined && index >= 0) known?.splice(index, 1);
+      const holders = this.holdersOf(hash);
+      const index = holders?.findIndex((holder) => holder.runner === runner);
+      if (index !== undefined && index >= 0) holders?.splice(index, 1);
     }
   }
 
@@ -96,25 +97,25 @@
     return this.young.get(hash) ?? this.old.get(hash);
   }
 
-  private addOne(runner: RunnerState, hash: number): void {
-    const holders = this.renewed(hash);
-    const known = holders.find((holder) => holder.runner === runner);
-    if (known !== undefined) {
-      known.gaps = runner.cacheGaps;
+  private addHolder(runner: RunnerState, hash: number): void {
+    const holders = this.promote(hash);
+    const existing = holders.find((holder) => holder.runner === runner);
+    if (existing !== undefined) {
+      existing.gaps = runner.cacheGaps;
       return;
     }
-    if (holders.length >= MOST_HOLDERS) holders.shift();
+    if (holders.length >= MAXIMUM_HOLDERS) holders.shift();
     holders.push({ runner, gaps: runner.cacheGaps });
   }
 
-  /** The holders of a prefix, in the young generation. */
-  private renewed(hash: number): Holder[] {
+  /** Moves a prefix to the young generation and returns its holders. */
+  private promote(hash: number): Holder[] {
     const young = this.young.get(hash);
     if (young !== undefined) return young;
     const holders = this.old.get(hash) ?? [];
     this.old.delete(hash);
     this.young.set(hash, holders);
-    if (this.young.size >= MOST_PREFIXES / 2) {
+    if (this.young.size >= MAXIMUM_PREFIXES / 2) {
       this.old = this.young;
       this.young = new Map();
     }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,34 +1,35 @@
-/** Types of placement: which backend server gets a request. */
+/** Types of placement, which chooses the backend server for a request. */
 import type { Emit, Now, Random } from "../internal.js";
 
-/** What an entry knows of a backend server apart from its load. */
+/** Properties of a backend server other than its load. */
 export interface RunnerDescription {
   readonly runner: string;
-  /** Its ranks run in lock-step with those of the whole group. */
+  /** Its ranks run in lockstep with those of the whole group. */
   readonly group: string;
   readonly dataCentre: string;
   /**
-   * What it serves in full: model or plain service keys, with and without
-   * version. A runner whose role is only a part of the work lists none.
+   * Keys of the models or plain services that it serves completely, with and
+   * without version. Empty for a runner whose role covers only a part of the
+   * work.
    */
   readonly pools: readonly string[];
-  /** Adapters that are loaded. */
+  /** Names of the loaded adapters. */
   readonly adapters: readonly string[];
-  /** Requests that its engine batches at once. */
+  /** Requests that its engine runs in one batch. */
   readonly slots: number;
 }
 
 export interface PlacementRequest {
   readonly pool: string;
   readonly adapter?: string;
-  /** 0 is served first, and has room where the others have none. */
+  /** 0 is the highest, with a share of the agents' queues reserved for it. */
   readonly priority: number;
   readonly promptTokens: number;
-  /** Expected, not the caller's upper limit. */
+  /** Expected number, not the caller's limit. */
   readonly outputTokens: number;
-  /** Chained hashes of the prompt's blocks, shortest prefix first. */
+  /** Chained hashes of the prompt's blocks, by ascending prefix length. */
   readonly prefix: readonly number[];
-  /** Runners that have refused or broken this request. */
+  /** Runners that refused this request or failed while running it. */
   readonly excluded?: readonly string[];
 }
 
@@ -37,65 +38,65 @@
   readonly group: string;
   /** Predicted time in the runner's queue. */
   readonly waitMs: number;
-  /** Time from its start to its end at the speed of the settings. */
+  /** Predicted service time at the speed that the settings give. */
   readonly nominalMs: number;
-  /** The same at the speed that the runner has shown. */
+  /** Predicted service time at the speed observed at the runner. */
   readonly serviceMs: number;
-  /** Tokens of the prompt that the runner is believed to hold. */
+  /** Tokens of the prompt that the runner probably has cached. */
   readonly cachedTokens: number;
-  /** Runner whose KV cache of the prefix is worth moving. */
+  /** Runner from which transferring the prefix's KV cache saves time. */
   readonly importFrom: string | undefined;
-  /** False when even this runner is predicted to be full. */
+  /** False if even this runner is predicted to be full. */
   readonly hasRoom: boolean;
 }
 
-/** Load of a runner, as its agent reported it. */
+/** Load of a runner as reported by its agent. */
 export interface RunnerLoad {
   readonly running: number;
   readonly waiting: number;
   readonly waitingTokens: number;
   readonly freeBlocks: number;
   readonly totalBlocks: number;
-  /** Age of the figures on arrival. */
+  /** Age of the report when it arrived. */
   readonly ageMs: number;
-  /** Duration of one engine step; 0 when unknown. */
+  /** Duration of one engine step; 0 if unknown. */
   readonly stepMs: number;
 }
 
-/** One record of a runner's stream of prefix cache changes. */
+/** A change of a runner's prefix cache. */
 export interface CacheEvent {
   readonly runner: string;
-  /** Rises by one with each event of the runner; a jump is a gap. */
+  /** Increases by one per event of the runner; a jump means lost events. */
   readonly sequence: number;
   readonly kind: "stored" | "removed" | "cleared";
   readonly hashes: readonly number[];
 }
 
-/** Identifies a placed request when its end is told. */
+/** A placed request and the choice made for it. */
 export interface Placed {
   readonly request: PlacementRequest;
   readonly choice: Choice;
 }
 
 export interface KvTransfer {
-  /** Fixed part of one export and import. */
+  /** Fixed cost of one export and import. */
   readonly setupMs: number;
   readonly msPerToken: number;
 }
 
-/** Figures of the site that placement reckons with. */
+/** Properties of the site that predictions are based on. */
 export interface PlacementSettings {
   /** Data centre of this entry. */
   readonly dataCentre: string;
-  /** Round trip to another data centre. */
+  /** Round-trip time to another data centre. */
   readonly distanceMs: (dataCentre: string) => number;
   readonly blockTokens: number;
   readonly prefillMsPerToken: number;
   readonly stepMs: number;
   readonly adapterLoadMs: number;
-  /** Absent where engines can't move their cache. */
+  /** Undefined if engines can't transfer their KV cache. */
   readonly kvTransfer: KvTransfer | undefined;
-  /** Requests beyond its slots that a runner's agent takes, as a share. */
+  /** Requests that an agent accepts beyond its slots, as a share of them. */
   readonly queueShare: number;
 }
 
@@ -107,18 +108,18 @@
   readonly tuning?: Partial<PlacementTuning>;
 }
 
-/** Constants of the policy; docs/measurements/placement.md has the figures. */
+/** Policy constants; docs/measurements/placement.md has the measurements. */
 export interface PlacementTuning {
-  /** Largest pool of which every runner is compared. */
+  /** Largest pool in which every runner is compared. */
   readonly scanUpTo: number;
-  /** Runners of a larger pool compared besides the holders of the prefix. */
+  /** Runners of a larger pool compared in addition to the prefix's holders. */
   readonly samples: number;
-  /** Holders of a prefix that are compared. */
-  readonly holders: number;
-  /** After this time a report counts for 1/e. */
+  /** Maximum number of a prefix's holders that are compared. */
+  readonly maximumHolders: number;
+  /** Time in which the weight of a report decays to 1/e. */
   readonly reportTrustMs: number;
-  /** Charge for a full batch, against an empty one. */
-  readonly occupancyMs: number;
-  /** After this time without news a slow runner is believed 1/e less slow. */
-  readonly slownessMemoryMs: number;
+  /** Score penalty of a full batch, relative to an empty one. */
+  readonly occupancyPenaltyMs: number;
+  /** Time in which slowness above 1 decays to 1/e if nothing is observed. */
+  readonly slownessDecayMs: number;
 }
--- a/src/routing/newest-configuration.ts
+++ b/src/routing/newest-configuration.ts
@@ -1,29 +1,29 @@
 /**
- * The configuration that a page of the operator's topic brings. A record that
- * can't be read leaves the one before it in force, also when both come in one
- * page.
+ * Finds the newest readable configuration in a page of the operator's topic. A
+ * record that can't be decoded leaves the one before it in force, also when
+ * both are in the same page.
  */
 import { toFailure } from "../internal.js";
 import type { KeyedRecord } from "../platform/keyed-topic.js";
 import type { SiteConfiguration } from "./types.js";
 
 export interface ConfigurationSource {
-  /** The key of the configuration's record. */
+  /** Key of the configuration's records. */
   readonly key: string;
   /** Throws 1903 for a record that can't be decoded. */
   readonly decode: (value: Buffer) => SiteConfiguration;
   readonly onUnreadable: (record: ValueRecord, reason: string) => void;
 }
 
-/** A record that its key still has. */
+/** A record with a value, thus not a tombstone. */
 export interface ValueRecord extends KeyedRecord {
   readonly value: Buffer;
 }
 
-/** The name under which findings on configurations are told. */
+/** Stream name under which findings on configurations are reported. */
 export const CONFIGURATION_STREAM = "configuration";
 
-/** Undefined when the page has none that can be read. Doesn't throw. */
+/** Returns undefined if no configuration can be read. Doesn't throw. */
 export function newestConfiguration(
   records: readonly KeyedRecord[],
   { key, decode, onUnreadable }: ConfigurationSource,
--- a/src/routing/route-table.ts
+++ b/src/routing/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds route and client account of a request in one configuration. */
+/** Looks up the route and the client account of a request. */
 import type { Random } from "../internal.js";
 import type {
   ClientAccount,
@@ -8,25 +8,25 @@
 } from "./types.js";
 
 export class RouteTable {
-  private readonly routesOfHost = new Map<string, Route[]>();
-  private readonly accounts = new Map<string, ClientAccount>();
-  private readonly services: ReadonlySet<string>;
+  private readonly routesByHost = new Map<string, Route[]>();
+  private readonly accountsByCredential = new Map<string, ClientAccount>();
+  private readonly serviceNames: ReadonlySet<string>;
 
   private constructor(readonly configuration: SiteConfiguration) {
     for (const route of configuration.routes) {
-      const routes = this.routesOfHost.get(route.hostname) ?? [];
+      const routes = this.routesByHost.get(route.hostname) ?? [];
       routes.push(route);
-      this.routesOfHost.set(route.hostname, routes);
+      this.routesByHost.set(route.hostname, routes);
     }
-    for (const routes of this.routesOfHost.values()) {
+    for (const routes of this.routesByHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
     for (const account of configuration.accounts) {
       for (const credential of account.credentials) {
-        this.accounts.set(credential, account);
+        this.accountsByCredential.set(credential, account);
       }
     }
-    this.services = new Set([
+    this.serviceNames = new Set([
       ...configuration.services.map(({ name }) => name),
       ...configuration.routes.flatMap(({ shares }) =>
         shares.map(({ service }) => service),
@@ -42,37 +42,37 @@
     return this.configuration.version;
   }
 
-  /** Whether requests of routes that aren't public need a credential. */
+  /** Whether requests to routes that aren't public need a credential. */
   get needsCredentials(): boolean {
     return this.configuration.accounts.length > 0;
   }
 
-  /** Whether the service is listed, or a route leads to it. */
+  /** Whether the service is configured or has a share of a route. */
   namesService(service: string): boolean {
-    return this.services.has(service);
+    return this.serviceNames.has(service);
   }
 
-  /** The longest prefix that begins the path. */
+  /** The route with the longest matching path prefix. */
   findRoute(hostname: string, path: string): Route | undefined {
-    const routes = this.routesOfHost.get(hostname);
+    const routes = this.routesByHost.get(hostname);
     return routes?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
   }
 
   findAccount(credential: string): ClientAccount | undefined {
-    return this.accounts.get(credential);
+    return this.accountsByCredential.get(credential);
   }
 }
 
-/** Draws one of a route's services by weight. */
+/** Draws one of a route's services at random, by weight. */
 export function chooseService(
   shares: readonly ServiceShare[],
   random: Random,
 ): string | undefined {
-  const total = shares.reduce((sum, { weight }) => sum + weight, 0);
-  let left = random() * total;
+  const totalWeight = shares.reduce((sum, { weight }) => sum + weight, 0);
+  let remainingWeight = random() * totalWeight;
   for (const { service, weight } of shares) {
-    left -= weight;
-    if (left < 0) return service;
+    remainingWeight -= weight;
+    if (remainingWeight < 0) return service;
   }
   return shares.at(-1)?.service;
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,6 +1,6 @@
-/** Types of routing: what an operator's configuration says of requests. */
+/** Types of routing, as given by the operator's configuration. */
 
-/** What may be repeated, and how the answer comes. */
+/** Whether requests may be repeated, and whether answers are streamed. */
 export type RouteKind = "idempotent" | "non-idempotent" | "stream";
 
 export interface ServiceShare {
@@ -15,45 +15,45 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time to the final answer, ms. */
+  /** Maximum time to the final answer, ms. */
   readonly timeoutMs: number;
-  /** Time in which an answer, or a stream's first event, is on time, ms. */
+  /** Target time to the answer, or to the first event of a stream, ms. */
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that is on time, ms. */
+  /** Target for the longest pause between two events of a stream, ms. */
   readonly pauseObjectiveMs: number;
-  /** Runners that one request may be sent to. */
+  /** Maximum number of runners that a request is sent to. */
   readonly maximumAttempts: number;
-  /** 0 is served first. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Open to callers without a credential. */
+  /** Whether callers need no credential. */
   readonly isPublic: boolean;
-  /** A broken stream may go on at another runner after its last event. */
+  /** Whether another runner may resume a broken stream after its last event. */
   readonly isResumable: boolean;
   readonly shares: readonly ServiceShare[];
 }
 
-/** What the operator says of the engines of a service. */
+/** Properties of a service's engines, set by the operator. */
 export interface EngineFigures {
-  /** Requests that one engine batches at once. */
+  /** Requests that an engine runs in one batch. */
   readonly slots: number;
-  /** Steps that a pass with running answers makes. */
+  /** Engine steps per pass while answers are running. */
   readonly stepsPerPass: number;
-  /** Sets of layers that have a map of their own; 0 without expert maps. */
+  /** Number of layer sets with their own expert map; 0 without expert maps. */
   readonly expertSets: number;
   readonly experts: number;
-  /** Experts that a rank can hold in one set. */
+  /** Maximum number of experts that a rank holds per set. */
   readonly slotsPerRank: number;
-  /** Experts new to a rank that one map may bring in one set. */
+  /** Maximum number of experts that a map may add to a rank per set. */
   readonly maximumNewExperts: number;
-  /** Time in which a rank copies one expert over its link, ms. */
+  /** Time to copy one expert to a rank over its link, ms. */
   readonly expertCopyMs: number;
 }
 
 export interface Service {
   readonly name: string;
-  /** Connections that one runner accepts from all callers together. */
+  /** Maximum number of connections that a runner accepts from all callers. */
   readonly maximumConnections: number;
-  /** Absent for plain services. */
+  /** Undefined for plain services. */
   readonly engine: EngineFigures | undefined;
 }
 
@@ -64,12 +64,12 @@
   readonly priority: number | undefined;
 }
 
-/** Limits on what a caller sends. */
+/** Limits on callers' requests and connections. */
 export interface CallerBounds {
   readonly headBytes: number;
   readonly bodyBytes: number;
   readonly headMs: number;
-  /** How long a connection may be idle between two requests, ms. */
+  /** Maximum idle time of a connection between two requests, ms. */
   readonly idleMs: number;
 }
 
@@ -77,7 +77,7 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Empty where requests need no credential. */
+  /** Empty if requests need no credential. */
   readonly accounts: readonly ClientAccount[];
   readonly bounds: CallerBounds;
 }
--- a/tests/admission/admission.test.ts
+++ b/tests/admission/admission.test.ts
@@ -12,7 +12,7 @@
   readonly id: string;
 }
 
-interface Bench {
+interface Harness {
   readonly admission: Admission;
   readonly time: { nowMs: number };
   readonly started: AdmissionRequest[];
@@ -20,25 +20,25 @@
   readonly room: { count: number };
 }
 
-function create(room: number, entries = 1): Bench {
+function createHarness(room: number, entries = 1): Harness {
   const time = { nowMs: 0 };
   const started: AdmissionRequest[] = [];
   const givenUp: GivenUp[] = [];
-  const bench = { time, started, givenUp, room: { count: room } };
+  const harness = { time, started, givenUp, room: { count: room } };
   const admission = Admission.create({
     now: () => time.nowMs,
     random: createRandom(3),
     emit: ignoreEvents,
     entries: () => entries,
     start: (request) => {
-      if (bench.room.count === 0) return false;
-      bench.room.count -= 1;
+      if (harness.room.count === 0) return false;
+      harness.room.count -= 1;
       started.push(request);
       return true;
     },
     giveUp: ({ id }, refusal) => givenUp.push({ id, ...refusal }),
   });
-  return { ...bench, admission };
+  return { ...harness, admission };
 }
 
 let lastId = 0;
@@ -62,16 +62,19 @@
   };
 }
 
-/** Ends the oldest running request, so that one place becomes free. */
-function endOne({ admission, room, started }: Bench, served: number): void {
-  const ended = started.at(served);
+/** Ends the request that started at the given position, freeing its place. */
+function endRequest(
+  { admission, room, started }: Harness,
+  index: number,
+): void {
+  const ended = started.at(index);
   if (ended === undefined) return;
   room.count += 1;
   const { costTokens, serviceMs } = ended;
   admission.onEnded(ended, { costTokens, durationMs: serviceMs });
 }
 
-function countBy(
+function countOfAccount(
   requests: readonly AdmissionRequest[],
   account: string,
 ): number {
@@ -80,77 +83,81 @@
 
 describe("admission", () => {
   it("starts a request at once while there is room", () => {
-    const { admission, started } = create(1);
+    const { admission, started } = createHarness(1);
     assert.is(admission.offer(request()).kind, "admitted");
     assert.is(started.length, 1);
     assert.is(admission.offer(request()).kind, "queued");
   });
 
-  describe("when one account floods", () => {
-    // Crews of a small account see their lookups refused: a large account has
-    // filled the queue with its drafts, and whoever comes later finds it full.
-    it("gives each account its share by cost, not by count", () => {
-      const bench = create(4);
+  describe("when one account floods the queue", () => {
+    // Guards against one account filling the queue, which would cause the
+    // requests of all other accounts to be refused.
+    it("shares capacity between accounts by cost, not by number of requests", () => {
+      const harness = createHarness(4);
       for (let index = 0; index < 60; index += 1) {
-        bench.admission.offer(request({ account: "large", costTokens: 400 }));
+        harness.admission.offer(request({ account: "large", costTokens: 400 }));
       }
       for (let index = 0; index < 60; index += 1) {
-        bench.admission.offer(request({ account: "small" }));
+        harness.admission.offer(request({ account: "small" }));
       }
-      for (let index = 0; index < 44; index += 1) endOne(bench, index);
-      const served = bench.started.slice(4);
-      const large = countBy(served, "large") * 400;
-      const small = countBy(served, "small") * 100;
+      for (let index = 0; index < 44; index += 1) endRequest(harness, index);
+      const served = harness.started.slice(4);
+      const large = countOfAccount(served, "large") * 400;
+      const small = countOfAccount(served, "small") * 100;
       assert.ok(Math.abs(large - small) <= 800, `${large} against ${small}`);
     });
 
-    it("displaces the youngest request of the largest account", () => {
-      const bench = create(0);
+    it("displaces the newest request of the account with the most waiting", () => {
+      const harness = createHarness(0);
       for (let index = 0; index < 100; index += 1) {
-        bench.admission.offer(request({ account: "large" }));
+        harness.admission.offer(request({ account: "large" }));
       }
       const newest = `r${lastId}`;
-      const refused = bench.admission.offer(request({ account: "large" }));
+      const refused = harness.admission.offer(request({ account: "large" }));
       assert.is(refused.kind, "refused");
       assert.is(
-        bench.admission.offer(request({ account: "small" })).kind,
+        harness.admission.offer(request({ account: "small" })).kind,
         "queued",
       );
-      assert.is(bench.givenUp[0]?.id, newest);
-      assert.is(bench.givenUp[0]?.error.number, 1505);
+      assert.is(harness.givenUp[0]?.id, newest);
+      assert.is(harness.givenUp[0]?.error.number, 1505);
     });
   });
 
   describe("priorities", () => {
-    it("come first, but the lower ones get a twentieth", () => {
-      const bench = create(1);
-      bench.admission.offer(request());
+    it("serves higher ones first but gives the lower ones 5% of the work", () => {
+      const harness = createHarness(1);
+      harness.admission.offer(request());
       const queue = { maximumTokens: 1_000_000, maximumWaitMs: 50_000 };
       for (let index = 0; index < 200; index += 1) {
-        bench.admission.offer(request({ profile: "low", priority: 9, queue }));
-        bench.admission.offer(request({ profile: "high", priority: 0, queue }));
+        harness.admission.offer(
+          request({ profile: "low", priority: 9, queue }),
+        );
+        harness.admission.offer(
+          request({ profile: "high", priority: 0, queue }),
+        );
       }
-      for (let index = 0; index < 100; index += 1) endOne(bench, index);
-      const served = bench.started.slice(1);
+      for (let index = 0; index < 100; index += 1) endRequest(harness, index);
+      const served = harness.started.slice(1);
       const low = served.filter(({ priority }) => priority === 9).length;
       assert.ok(low >= 4 && low <= 6, `${low} of ${served.length}`);
     });
   });
 
   describe("deadlines", () => {
-    it("refuses at once what can't be finished in time", () => {
-      const bench = create(1);
-      bench.admission.offer(request({ serviceMs: 1000 }));
-      endOne(bench, 0);
-      bench.admission.offer(request({ serviceMs: 1000 }));
+    it("refuses at once a request that can't meet its deadline", () => {
+      const harness = createHarness(1);
+      harness.admission.offer(request({ serviceMs: 1000 }));
+      endRequest(harness, 0);
+      harness.admission.offer(request({ serviceMs: 1000 }));
       const short = { serviceMs: 1000, deadlineAtMs: 12_000 };
-      assert.is(bench.admission.offer(request(short)).kind, "queued");
-      assert.is(bench.admission.offer(request(short)).kind, "queued");
-      const offer = bench.admission.offer(
+      assert.is(harness.admission.offer(request(short)).kind, "queued");
+      assert.is(harness.admission.offer(request(short)).kind, "queued");
+      const offer = harness.admission.offer(
         request({ ...short, account: "crews" }),
       );
       assert.is(offer.kind, "queued");
-      const late = bench.admission.offer(request(short));
+      const late = harness.admission.offer(request(short));
       assert.is(late.kind, "refused");
       if (late.kind !== "refused") return;
       assert.is(late.error.number, 1502);
@@ -158,75 +165,75 @@
       assert.ok(late.retryAfterMs >= 100);
     });
 
-    it("gives up a waiting request once and at once, with a time to return", () => {
-      const bench = create(0);
-      bench.admission.offer(request({ deadlineAtMs: 500, serviceMs: 100 }));
-      assert.is(bench.admission.nextGiveUpAtMs, 300);
-      bench.time.nowMs = 300;
-      bench.admission.sweep();
-      bench.admission.sweep();
-      assert.is(bench.givenUp.length, 1);
-      assert.is(bench.givenUp[0]?.error.number, 1502);
-      bench.room.count = 1;
-      bench.admission.drain("drafting");
-      assert.is(bench.started.length, 0);
+    it("gives up a waiting request at its latest start time, only once", () => {
+      const harness = createHarness(0);
+      harness.admission.offer(request({ deadlineAtMs: 500, serviceMs: 100 }));
+      assert.is(harness.admission.nextGiveUpAtMs, 300);
+      harness.time.nowMs = 300;
+      harness.admission.giveUpExpired();
+      harness.admission.giveUpExpired();
+      assert.is(harness.givenUp.length, 1);
+      assert.is(harness.givenUp[0]?.error.number, 1502);
+      harness.room.count = 1;
+      harness.admission.drain("drafting");
+      assert.is(harness.started.length, 0);
     });
 
-    it("gives up what waits longer than its profile lets it", () => {
-      const bench = create(0);
-      bench.admission.offer(request());
-      bench.time.nowMs = 30_000;
-      bench.admission.sweep();
-      assert.is(bench.givenUp[0]?.error.number, 1503);
+    it("gives up a request that exceeds the maximum wait of its profile", () => {
+      const harness = createHarness(0);
+      harness.admission.offer(request());
+      harness.time.nowMs = 30_000;
+      harness.admission.giveUpExpired();
+      assert.is(harness.givenUp[0]?.error.number, 1503);
     });
   });
 
-  it("keeps a profile within its concurrency and serves the others", () => {
-    const bench = create(10);
+  it("limits a profile to its concurrency and still serves other profiles", () => {
+    const harness = createHarness(10);
     for (let index = 0; index < 3; index += 1) {
-      bench.admission.offer(request({ profile: "narrow", concurrency: 2 }));
+      harness.admission.offer(request({ profile: "narrow", concurrency: 2 }));
     }
-    assert.is(bench.started.length, 2);
-    bench.admission.offer(request({ profile: "wide" }));
-    bench.admission.drain("drafting");
-    assert.is(bench.started.length, 3);
-    endOne(bench, 0);
-    assert.is(bench.started.length, 4);
+    assert.is(harness.started.length, 2);
+    harness.admission.offer(request({ profile: "wide" }));
+    harness.admission.drain("drafting");
+    assert.is(harness.started.length, 3);
+    endRequest(harness, 0);
+    assert.is(harness.started.length, 4);
   });
 
-  it("takes back what an agent refused, ahead of the account's others", () => {
-    const bench = create(1);
+  it("requeues a refused request ahead of others of the same account", () => {
+    const harness = createHarness(1);
     const first = request();
-    bench.admission.offer(first);
-    bench.admission.offer(request());
-    bench.admission.putBack(first);
-    bench.room.count = 1;
-    bench.admission.drain("drafting");
-    assert.is(bench.started.at(-1), first);
+    harness.admission.offer(first);
+    harness.admission.offer(request());
+    harness.admission.putBack(first);
+    harness.room.count = 1;
+    harness.admission.drain("drafting");
+    assert.is(harness.started.at(-1), first);
   });
 
-  it("forgets a waiting request whose caller went away", () => {
-    const bench = create(0);
+  it("removes a waiting request whose caller disconnected", () => {
+    const harness = createHarness(0);
     const gone = request();
-    bench.admission.offer(gone);
-    assert.ok(bench.admission.cancel(gone.id));
-    bench.room.count = 1;
-    bench.admission.drain("drafting");
-    assert.is(bench.started.length, 0);
+    harness.admission.offer(gone);
+    assert.ok(harness.admission.cancel(gone.id));
+    harness.room.count = 1;
+    harness.admission.drain("drafting");
+    assert.is(harness.started.length, 0);
   });
 
   describe("an account's limit", () => {
     const accountLimit = { tokensPerSecond: 1000, burstTokens: 2000 };
 
     for (const entries of [1, 3, 12, 320]) {
-      it(`overshoots by one request an entry at most, over ${entries}`, () => {
-        const benches = Array.from({ length: entries }, () =>
-          create(Number.POSITIVE_INFINITY, entries),
+      it(`is exceeded by at most one request per entry with ${entries} entries`, () => {
+        const harnesses = Array.from({ length: entries }, () =>
+          createHarness(Number.POSITIVE_INFINITY, entries),
         );
         const seconds = 60;
         let granted = 0;
         for (let nowMs = 0; nowMs < seconds * 1000; nowMs += 250) {
-          for (const { admission, time } of benches) {
+          for (const { admission, time } of harnesses) {
             time.nowMs = nowMs;
             const offer = admission.offer(request({ accountLimit }));
             if (offer.kind === "admitted") granted += 100;
@@ -237,8 +244,8 @@
       });
     }
 
-    it("tells when to come back", () => {
-      const { admission } = create(100);
+    it("refuses with a time to retry after", () => {
+      const { admission } = createHarness(100);
       admission.offer(request({ accountLimit, costTokens: 5000 }));
       const offer = admission.offer(request({ accountLimit }));
       assert.is(offer.kind, "refused");
--- a/tests/admission/daemon.test.ts
+++ b/tests/admission/daemon.test.ts
@@ -10,11 +10,11 @@
 import { describe, it } from "../support/describe.js";
 
 const STEP_MS = 5;
-/** Long enough for all calls to arrive while the first one runs. */
-const TOKENS = 200;
+/** Enough output that all calls arrive while the first one still runs. */
+const OUTPUT_TOKENS = 200;
 const PROMPT = "leak at valve 12";
 
-function narrowConfiguration(): ReturnType<typeof siteConfiguration> {
+function singleRequestConfiguration(): ReturnType<typeof siteConfiguration> {
   const configuration = siteConfiguration("dyfrwr", 1);
   const queue = { maximumTokens: 80, maximumWaitMs: 30_000 };
   const profiles = configuration.profiles.map((profile) => ({
@@ -25,19 +25,23 @@
   return { ...configuration, profiles };
 }
 
-function ask(site: Site): Promise<Response> {
+function sendCompletion(site: Site): Promise<Response> {
   const address = site.entries[0].daemon.process.callers;
   return fetch(`http://${address}/v1/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${credentialOf("dyfrwr", 0)}` },
-    body: JSON.stringify({ model: MODEL, prompt: PROMPT, max_tokens: TOKENS }),
+    body: JSON.stringify({
+      model: MODEL,
+      prompt: PROMPT,
+      max_tokens: OUTPUT_TOKENS,
+    }),
   });
 }
 
-describe("an entry with more calls than a profile may run", () => {
-  // Three calls of one account arrive at once; the profile runs one of them
-  // and has room for one that waits. The caller of the third must hear at
-  // once that it was not run and when to come back, not when the others end.
+describe("an entry with more calls than a profile's concurrency", () => {
+  // Three calls arrive together; the profile runs one and its queue holds one.
+  // Guards against the third being answered only once the others have ended:
+  // it must be refused at once as not run, with a time to retry after.
   it("runs one, queues one and refuses one at once", async () => {
     await using site = await startSite({
       dataCentres: ["caerdydd"],
@@ -48,11 +52,11 @@
       modelGroup: MODEL_GROUP,
       serviceGroup: SERVICE_GROUP,
     });
-    await site.publish(narrowConfiguration());
+    await site.publish(singleRequestConfiguration());
     await site.settled();
     const ended: number[] = [];
     const calls = [1, 2, 3].map(async () => {
-      const response = await ask(site);
+      const response = await sendCompletion(site);
       ended.push(response.status);
       return response;
     });
--- a/tests/admission/load.test.ts
+++ b/tests/admission/load.test.ts
@@ -22,60 +22,60 @@
 }
 
 describe("callers of a site under load", () => {
-  // Callers ask for twice what the runners can do. Served in the order of
-  // arrival, nearly every answer comes after its deadline: the runners are
-  // busy all the time and nobody gets anything.
+  // Guards against serving requests in order of arrival under overload: the
+  // runners would be fully busy, but nearly all answers would come after their
+  // deadlines.
   describe("at twice the capacity", () => {
     const result = run("saturation x2");
 
-    it("get answers in time from 95 in 100 of the runners' time", () => {
+    it("get answers in time from 95% of the runners' capacity", () => {
       assert.ok(result.goodput >= 0.95, `${result.goodput}`);
       assert.ok(run("saturation x2", createPlainEntry).goodput < 0.5);
     });
 
-    it("get urgent answers in time, 99 in 100", () => {
+    it("get 99% of urgent answers in time", () => {
       assert.ok(result.firstPriority >= 0.99, `${result.firstPriority}`);
     });
 
-    it("hear of a refusal within 50 ms, 95 in 100", () => {
+    it("get 95% of refusals within 50 ms", () => {
       assert.ok(result.refusedAtOnce >= 0.95, `${result.refusedAtOnce}`);
     });
   });
 
-  // One account sends three times what all runners can do. The small accounts
-  // see their few requests wait behind it, or refused because the queue is
-  // full of it.
-  it("are served beside an account that floods", () => {
+  // One account sends three times the capacity of all runners. Guards against
+  // requests of small accounts waiting behind it, or being refused because it
+  // has filled the queue.
+  it("are served while one account floods the queue", () => {
     const result = run("one account floods");
     assert.ok(result.leastShare >= 0.8, `${result.leastShare}`);
     assert.ok(result.firstPriority >= 0.99, `${result.firstPriority}`);
     assert.ok(result.goodput >= 0.95, `${result.goodput}`);
   });
 
-  // For five seconds callers send ten times the usual. What is queued then
-  // must not make later callers late, nor urgent ones during the burst.
-  it("get urgent answers through a burst", () => {
+  // For five seconds callers send ten times the usual load. Guards against the
+  // queued requests delaying urgent ones, or callers that come after the burst.
+  it("get urgent answers in time during a burst", () => {
     const result = run("burst x10");
     assert.ok(result.firstPriority >= 0.99, `${result.firstPriority}`);
     assert.ok(result.late <= result.inTime / 100, `${result.late}`);
   });
 
-  it("aren't held up by one slow backend server", () => {
+  it("aren't delayed by one slow backend server", () => {
     const result = run("one slow backend server");
     assert.is(result.refused, 0);
     assert.ok(result.late <= result.inTime / 100, `${result.late}`);
   });
 
-  it("get short answers beside long ones", () => {
+  it("get short answers in time among long ones", () => {
     const result = run("long and short", createAdmittedEntry, 100_000);
     assert.ok(result.firstPriority >= 0.98, `${result.firstPriority}`);
     assert.ok(result.goodput >= 0.95, `${result.goodput}`);
   });
 
-  // All runners fail for 30 s while clients come again up to three times. With
-  // a plain cap on attempts the runners that come back meet several times the
-  // usual load.
-  it("don't meet a storm of retries after an outage", () => {
+  // All runners fail for 30 s while clients retry up to three times. Guards
+  // against recovering runners getting several times the usual load, as happens
+  // with only a cap on the attempts of each request.
+  it("don't cause a retry storm after an outage", () => {
     const result = run("outage of 30 s", createAdmittedEntry, 80_000);
     assert.ok(result.amplification <= 1.1, `${result.amplification}`);
     assert.is(result.late, 0);
--- a/tests/admission/retries.test.ts
+++ b/tests/admission/retries.test.ts
@@ -19,27 +19,27 @@
 }
 
 describe("retry allowance", () => {
-  // Callers see the recovery of a failed rack take minutes: each of their
-  // requests is sent again and again, and the runners that come back get many
-  // times the usual load.
-  it("bounds retries in an outage, whatever time passes", () => {
+  // Guards against retries that keep a failed rack from recovering: if every
+  // request is sent many times, recovering runners get many times the usual
+  // load for minutes.
+  it("limits retries in an outage, however long it lasts", () => {
     const allowance = create();
     assert.is(spendAll(allowance), 20);
     assert.is(allowance.spend(1), undefined);
   });
 
-  it("is refilled by whole answers, one retry for ten", () => {
+  it("is refilled by one retry per ten complete answers", () => {
     const allowance = create();
     spendAll(allowance);
     for (let index = 0; index < 51; index += 1) allowance.onSuccess();
     assert.is(spendAll(allowance), 5);
   });
 
-  it("stops one request after four attempts", () => {
+  it("limits a request to four attempts", () => {
     assert.is(create().spend(4), undefined);
   });
 
-  it("spreads the delays", () => {
+  it("randomises the delays", () => {
     const allowance = create();
     const delays = Array.from({ length: 10 }, () => allowance.spend(3) ?? -1);
     assert.is(new Set(delays).size, 10);
@@ -47,8 +47,8 @@
   });
 });
 
-describe("agent's own limit", () => {
-  it("keeps room for the first priority that others can't take", () => {
+describe("agent limit", () => {
+  it("reserves queue space for the highest priority", () => {
     const limit = AgentLimit.create({ slots: 8, queueShare: 0.5 });
     let entries = 0;
     const nextEntry = (): string => {
@@ -64,9 +64,10 @@
     assert.ok(limit.enter(5, nextEntry()));
   });
 
-  // Callers of one entry are refused while those of another are served: the
-  // entry that filled the runners first replaces each request that ends.
-  it("lets the entry with fewer requests in beyond the slots", () => {
+  // Guards against the entry that filled the runners first keeping them by
+  // replacing each request that ends, while requests of other entries are
+  // refused.
+  it("favours the entry with fewer requests once the slots are in use", () => {
     const limit = AgentLimit.create({ slots: 8, queueShare: 1 });
     for (let index = 0; index < 7; index += 1) {
       assert.ok(limit.enter(5, "early"));
--- a/tests/placement/load.test.ts
+++ b/tests/placement/load.test.ts
@@ -23,16 +23,16 @@
 }
 
 describe("callers of placed requests", () => {
-  it("find their prefix cached without waiting at a hot runner", () => {
+  it("hit cached prefixes without waiting at an overloaded runner", () => {
     const result = run("skewed prefixes");
     const other = run("skewed prefixes", leastInFlight);
     assert.ok(result.cachedShare >= 1.4 * other.cachedShare);
     assert.ok(result.firstTokenP99 <= 1.5 * other.firstTokenP99);
   });
 
-  // One runner becomes five times slower. Who spreads requests evenly sends it
-  // as many as the others, so one in twelve callers waits for minutes.
-  it("aren't sent to a slow backend server as often as to the others", () => {
+  // One runner becomes five times slower. Guards against sending it as many
+  // requests as the others, which makes one in twelve callers wait for minutes.
+  it("are sent to a slow backend server less often than to the others", () => {
     const result = run("one slow");
     assert.ok(
       result.firstTokenP99 <= run("one slow", roundRobin).firstTokenP99 / 10,
@@ -42,28 +42,28 @@
     );
   });
 
-  // A runner that fails at once looks idle. Who sends to the idlest one sends
-  // it nearly everything, and each caller needs several attempts.
-  it("need hardly more than one attempt beside a failing runner", () => {
+  // A runner that fails at once looks idle. Guards against sending it nearly
+  // all requests, so that each caller needs several attempts.
+  it("need few retries while one runner fails", () => {
     const result = run("one failing fast");
     assert.is(result.failed, 0);
     assert.ok(result.attemptsEach <= 1.03, `${result.attemptsEach}`);
   });
 
-  it("aren't misled by reports that are seconds old", () => {
+  it("aren't delayed by decisions on reports that are seconds old", () => {
     const stale = run("stale reports");
     assert.ok(
       stale.firstTokenP95 <= run("stale reports", twoChoices).firstTokenP95,
     );
   });
 
-  it("lose few answers with a data centre, and none after its return", () => {
+  it("lose few answers when a data centre is lost", () => {
     const result = run("data centre lost");
     const other = run("data centre lost", leastInFlight);
     assert.ok(result.failed <= other.failed / 10, `${result.failed}`);
   });
 
-  it("wait less than by the best baselines where 320 entries act alone", () => {
+  it("wait less than with the best baselines at 320 independent entries", () => {
     const result = run("320 entries");
     for (const chooser of [leastInFlight, twoChoices]) {
       assert.ok(
--- a/tests/placement/placement.test.ts
+++ b/tests/placement/placement.test.ts
@@ -23,7 +23,10 @@
   stepMs: 5,
 };
 
-function runner(index: number, dataCentre = "caerdydd"): RunnerDescription {
+function describeRunner(
+  index: number,
+  dataCentre = "caerdydd",
+): RunnerDescription {
   return {
     runner: `runner-${index}`,
     group: `group-${index % 3}`,
@@ -45,7 +48,7 @@
   };
 }
 
-function create(
+function createPlacement(
   count: number,
   settings: Partial<PlacementSettings> = {},
   time = { nowMs: 0 },
@@ -57,119 +60,119 @@
     settings: { ...defaultPlacementSettings("caerdydd"), ...settings },
   });
   for (let index = 0; index < count; index += 1) {
-    placement.setRunner(runner(index));
+    placement.setRunner(describeRunner(index));
   }
   return placement;
 }
 
-function chosen(placement: Placement, wanted = request()): Choice {
-  return placement.choose(wanted).unsafeCoerce();
+function choose(placement: Placement, wantedRequest = request()): Choice {
+  return placement.choose(wantedRequest).unsafeCoerce();
 }
 
-function start(placement: Placement, wanted = request()): Choice {
-  const choice = chosen(placement, wanted);
-  placement.onStarted({ request: wanted, choice });
+function start(placement: Placement, wantedRequest = request()): Choice {
+  const choice = choose(placement, wantedRequest);
+  placement.onStarted({ request: wantedRequest, choice });
   return choice;
 }
 
 describe("placement", () => {
-  it("refuses truthfully when no runner serves the pool", () => {
-    const error = create(2)
+  it("refuses with error 1209 when no runner serves the pool", () => {
+    const error = createPlacement(2)
       .choose(request({ pool: "other" }))
       .swap();
     assert.is(error.unsafeCoerce().number, 1209);
   });
 
-  it("spreads own work that no report shows yet", () => {
-    const placement = create(6);
+  it("spreads requests that no load report covers yet", () => {
+    const placement = createPlacement(6);
     const counts = new Map<string, number>();
     for (let index = 0; index < 48; index += 1) {
       const { runner: name } = start(placement);
       counts.set(name, (counts.get(name) ?? 0) + 1);
     }
     assert.equal([...counts.values()], [8, 8, 8, 8, 8, 8]);
-    assert.ok(chosen(placement).waitMs > 0);
+    assert.ok(choose(placement).waitMs > 0);
   });
 
-  it("tells that no runner has room", () => {
-    const placement = create(1);
+  it("reports that no runner has room", () => {
+    const placement = createPlacement(1);
     for (let index = 0; index < 10; index += 1) start(placement);
-    assert.not(chosen(placement).hasRoom);
+    assert.not(choose(placement).hasRoom);
   });
 
   describe("with a shared prefix", () => {
     const prefix = [11, 12, 13, 14];
 
-    it("returns to the runner that holds it", () => {
-      const placement = create(40);
+    it("chooses the runner that has it cached", () => {
+      const placement = createPlacement(40);
       const first = start(placement, request({ prefix }));
-      const second = chosen(placement, request({ prefix }));
+      const second = choose(placement, request({ prefix }));
       assert.is(second.runner, first.runner);
       assert.is(second.cachedTokens, 1024);
     });
 
-    it("leaves the holder when waiting there costs more than it saves", () => {
-      const placement = create(4);
+    it("avoids the holder when waiting there costs more than it saves", () => {
+      const placement = createPlacement(4);
       const first = start(placement, request({ prefix }));
       const load = { ...IDLE, running: 8, waiting: 4, waitingTokens: 4000 };
       placement.onReport(first.runner, load);
-      const second = chosen(placement, request({ prefix }));
+      const second = choose(placement, request({ prefix }));
       assert.is.not(second.runner, first.runner);
     });
 
-    it("moves the cache where that beats computing it again", () => {
+    it("transfers the cache when that is faster than recomputing it", () => {
       const kvTransfer = { setupMs: 5, msPerToken: 0.01 };
-      const placement = create(4, { kvTransfer });
+      const placement = createPlacement(4, { kvTransfer });
       const first = start(placement, request({ prefix }));
       const load = { ...IDLE, running: 8, waiting: 4, waitingTokens: 4000 };
       placement.onReport(first.runner, load);
-      const second = chosen(placement, request({ prefix }));
+      const second = choose(placement, request({ prefix }));
       assert.is(second.importFrom, first.runner);
     });
 
-    it("forgets holders whose cache was cleared or whose events have gaps", () => {
-      for (const clearing of [
+    it("ignores holders whose cache was cleared or whose events have gaps", () => {
+      for (const events of [
         [{ sequence: 1, kind: "cleared" as const }],
         [3, 5, 7].map((sequence) => ({ sequence, kind: "removed" as const })),
       ]) {
-        const placement = create(2);
+        const placement = createPlacement(2);
         const { runner: name } = start(placement, request({ prefix }));
-        for (const event of clearing) {
+        for (const event of events) {
           placement.onCacheEvent({ ...event, runner: name, hashes: [] });
         }
-        assert.is(chosen(placement, request({ prefix })).cachedTokens, 0);
+        assert.is(choose(placement, request({ prefix })).cachedTokens, 0);
       }
     });
   });
 
   describe("when a runner's reports stop", () => {
-    // The caller sees requests pile up at one runner. Its last report said
-    // "empty", then its agent fell silent, while the others report that they
-    // are busy. Believed for ever, the old report draws all new work.
-    it("believes it as busy as the others after a while", () => {
+    // Guards against requests piling up at a runner whose agent stopped
+    // reporting after a report of no load, while all others report that they
+    // are busy. An old report must lose its weight.
+    it("assumes the mean load of the pool after a while", () => {
       const time = { nowMs: 0 };
-      const placement = create(4, {}, time);
+      const placement = createPlacement(4, {}, time);
       placement.onReport("runner-0", IDLE);
       time.nowMs = 10_000;
       const busy = { ...IDLE, running: 8, waiting: 8, waitingTokens: 8000 };
       for (const index of [1, 2, 3]) {
         placement.onReport(`runner-${index}`, busy);
       }
-      assert.ok(chosen(placement).waitMs > 0);
+      assert.ok(choose(placement).waitMs > 0);
     });
   });
 
   describe("when a runner fails fast", () => {
-    // Callers see more and more errors: a runner that fails at once looks
-    // idle, so that the least loaded one is always the broken one.
-    it("leaves it out, probes it and takes it back", () => {
+    // Guards against a growing share of errors: a runner that fails at once
+    // looks idle, so it would always be chosen as the least loaded one.
+    it("ejects it, probes it and readmits it", () => {
       const time = { nowMs: 0 };
-      const placement = create(3, {}, time);
+      const placement = createPlacement(3, {}, time);
       const excluded = ["runner-1", "runner-2"];
-      const wanted = request({ excluded });
+      const wantedRequest = request({ excluded });
       for (let index = 0; index < 3; index += 1) {
-        const choice = start(placement, wanted);
-        placement.onFailed({ request: wanted, choice });
+        const choice = start(placement, wantedRequest);
+        placement.onFailed({ request: wantedRequest, choice });
       }
       assert.is(placement.ejectedCount, 1);
       for (let index = 0; index < 30; index += 1) {
@@ -177,15 +180,15 @@
       }
       time.nowMs = 2000;
       for (let index = 0; index < 2; index += 1) {
-        const probe = start(placement, wanted);
+        const probe = start(placement, wantedRequest);
         assert.is(probe.runner, "runner-0");
-        placement.onEnded({ request: wanted, choice: probe }, 500);
+        placement.onEnded({ request: wantedRequest, choice: probe }, 500);
       }
       assert.is(placement.ejectedCount, 0);
     });
 
-    it("never leaves out a whole pool", () => {
-      const placement = create(3);
+    it("still chooses a runner when the whole pool is ejected", () => {
+      const placement = createPlacement(3);
       for (let index = 0; index < 30; index += 1) {
         const choice = start(placement);
         placement.onFailed({ request: request(), choice });
@@ -194,13 +197,16 @@
     });
   });
 
-  it("gives a slow runner less, and tries it again later", () => {
+  it("avoids a slow runner, but tries it again later", () => {
     const time = { nowMs: 0 };
-    const placement = create(2, {}, time);
-    const wanted = request({ excluded: ["runner-1"] });
+    const placement = createPlacement(2, {}, time);
+    const wantedRequest = request({ excluded: ["runner-1"] });
     for (let index = 0; index < 10; index += 1) {
-      const choice = start(placement, wanted);
-      placement.onEnded({ request: wanted, choice }, 8 * choice.nominalMs);
+      const choice = start(placement, wantedRequest);
+      placement.onEnded(
+        { request: wantedRequest, choice },
+        8 * choice.nominalMs,
+      );
     }
     for (let index = 0; index < 8; index += 1) {
       assert.is(start(placement).runner, "runner-1");
@@ -209,19 +215,19 @@
     assert.is(start(placement).runner, "runner-0");
   });
 
-  it("prefers a loaded adapter, a near data centre and free memory", () => {
-    const placement = create(0);
-    placement.setRunner({ ...runner(0), adapters: ["notices"] });
-    placement.setRunner({ ...runner(1), dataCentre: "abertawe" });
-    placement.setRunner(runner(2));
-    const { runner: withAdapter } = chosen(
+  it("prefers a loaded adapter, a local data centre and free KV cache", () => {
+    const placement = createPlacement(0);
+    placement.setRunner({ ...describeRunner(0), adapters: ["notices"] });
+    placement.setRunner({ ...describeRunner(1), dataCentre: "abertawe" });
+    placement.setRunner(describeRunner(2));
+    const { runner: withAdapter } = choose(
       placement,
       request({ adapter: "notices" }),
     );
     assert.is(withAdapter, "runner-0");
     placement.removeRunner("runner-0");
-    assert.is(chosen(placement).runner, "runner-2");
+    assert.is(choose(placement).runner, "runner-2");
     placement.onReport("runner-2", { ...IDLE, freeBlocks: 0 });
-    assert.is(chosen(placement).runner, "runner-1");
+    assert.is(choose(placement).runner, "runner-1");
   });
 });
--- a/tests/routing/route-table.test.ts
+++ b/tests/routing/route-table.test.ts
@@ -2,11 +2,11 @@
 import { createRandom } from "../../src/internal.js";
 import { RouteTable, chooseService } from "../../src/routing/route-table.js";
 import { describe, it } from "../support/describe.js";
-import { routeOf, siteOf } from "./support.js";
+import { routeOf, createSiteConfiguration } from "./support.js";
 
 describe("route table", () => {
   const table = RouteTable.create(
-    siteOf({
+    createSiteConfiguration({
       routes: [
         routeOf({ name: "short", pathPrefix: "/a/" }),
         routeOf({ name: "long", pathPrefix: "/a/b/" }),
@@ -16,18 +16,18 @@
     }),
   );
 
-  it("takes the longest prefix of the request's own host", () => {
+  it("finds the longest path prefix of the request's host", () => {
     assert.is(table.findRoute("site.example", "/a/b/c")?.name, "long");
     assert.is(table.findRoute("site.example", "/a/c")?.name, "short");
     assert.is(table.findRoute("other.example", "/a/b/c")?.name, "other");
   });
 
-  it("knows no route for another path or host", () => {
+  it("finds no route for an unknown path or host", () => {
     assert.is(table.findRoute("site.example", "/ab"), undefined);
     assert.is(table.findRoute("nobody.example", "/a/"), undefined);
   });
 
-  it("finds the account of each of its credentials", () => {
+  it("finds an account by its credentials", () => {
     assert.is(table.findAccount("k2")?.name, "one");
     assert.is(table.findAccount("k3"), undefined);
   });
--- a/tests/routing/support.ts
+++ b/tests/routing/support.ts
@@ -1,4 +1,4 @@
-/** Routes and configurations with the fields that a test doesn't care for. */
+/** Test routes and configurations with defaults for unspecified fields. */
 import type { Route, SiteConfiguration } from "../../src/routing/types.js";
 
 export function routeOf(fields: Partial<Route>): Route {
@@ -19,7 +19,9 @@
   };
 }
 
-export function siteOf(fields: Partial<SiteConfiguration>): SiteConfiguration {
+export function createSiteConfiguration(
+  fields: Partial<SiteConfiguration>,
+): SiteConfiguration {
   return {
     version: 1,
     routes: [],
