--- a/src/balance/balancer.ts
+++ b/src/balance/balancer.ts
@@ -1,14 +1,14 @@
 /**
- * The balancer of one group: takes in rank reports window by window, keeps the
- * forecast and the ranks' speeds, and decides for each window whether the
- * expert map changes. No input or output; the caller has the map switched.
+ * Balances the experts of one group: processes rank reports per window, updates
+ * the load forecast and the rank speeds, and decides per window whether to
+ * change the expert map. Does no I/O; the caller switches the map.
  */
 import type { Emit } from "../internal.js";
-import { BenefitRecord } from "./benefit-record.js";
+import { PlanAccuracy } from "./plan-accuracy.js";
 import { LoadForecast } from "./load-forecast.js";
 import { LoadHistory } from "./load-history.js";
 import {
-  DEFAULT_LIMITS,
+  DEFAULT_PLANNER_LIMITS,
   isWorthwhile,
   Planner,
   type PlannerLimits,
@@ -30,16 +30,16 @@
 } from "./types.js";
 
 /**
- * Windows between the reports and the middle of the time in which the new map
- * is hoped to serve: reports one window late, transfer and switch up to three,
- * and the first windows after it.
+ * Windows between the last report and the middle of the time in which a new map
+ * is expected to serve: reports are one window late, transfer and switch take
+ * up to three windows, and the rest are the first windows under the new map.
  */
-const LEAD_WINDOWS = 8;
-/** Windows of reports before the first decision: noise needs an estimate. */
-const LEAST_WINDOWS = 5;
+const FORECAST_LEAD_WINDOWS = 8;
+/** Windows observed before the first decision, to estimate the noise. */
+const MIN_OBSERVED_WINDOWS = 5;
 const REQUEST_SMOOTHING = 0.3;
-/** Worth a look at the machine, as no map makes up for much more. */
-const SLOW_RANK_SPEED = 0.85;
+/** Slower ranks are reported: no map compensates for much more slowness. */
+const SLOW_RANK_THRESHOLD = 0.85;
 
 export interface Decision {
   readonly map: ExpertMap;
@@ -49,7 +49,7 @@
   readonly skewWeight: number;
 }
 
-const NOTHING_PREDICTED: PlanForecast = {
+const NO_FORECAST: PlanForecast = {
   skewBefore: 1,
   skewAfter: 1,
   bytes: 0,
@@ -63,7 +63,7 @@
   private readonly planner: Planner;
   private readonly requestTokens: Float64Array;
   private readonly history = LoadHistory.create();
-  private readonly benefit = BenefitRecord.create();
+  private readonly planAccuracy = PlanAccuracy.create();
   private slowRanks: ReadonlySet<number> = new Set();
 
   private constructor(
@@ -80,24 +80,24 @@
   static create(
     shape: GroupShape,
     emit: Emit,
-    limits: PlannerLimits = DEFAULT_LIMITS,
+    limits: PlannerLimits = DEFAULT_PLANNER_LIMITS,
   ): Balancer {
     return new Balancer(shape, limits, emit);
   }
 
-  /** Speeds and request work of the ranks, as far as reports told. */
+  /** Speeds and request work of the ranks, as estimated from the reports. */
   get ranks(): RankState {
     const { fixedTokens } = this.rankSpeeds;
     return {
       speeds: this.rankSpeeds.current(),
-      // A step's fixed part weighs like requests that no placement can move.
+      // The fixed part of a step counts as request work, as no map can move it.
       requestTokens: this.requestTokens.map((tokens) => tokens + fixedTokens),
     };
   }
 
-  /** Takes in the reports of one window, counted under the given map. */
+  /** Processes the reports of one window, counted under the given map. */
   observe(map: ExpertMap, reports: readonly RankReport[]): void {
-    // Tokens counted under another map would go to the wrong experts.
+    // Tokens counted under another map would be assigned to wrong experts.
     const usable = reports.filter(
       ({ mapVersion }) => mapVersion === map.version,
     );
@@ -112,13 +112,14 @@
     this.observeRequests(usable);
     const complete = this.forecast.complete(tokens);
     this.history.observe(complete);
-    this.benefit.observe(complete, this.ranks);
+    this.planAccuracy.observe(complete, this.ranks);
     this.reportSlowRanks();
   }
 
   /**
-   * Request work for each rank, of `total` in all, that levels out the expert
-   * work expected under the map; placement within the group steers by it.
+   * Distributes `total` request work over the ranks so that it evens out the
+   * expert work predicted under the map; placement in the group uses the
+   * result.
    */
   levelledRequests(map: ExpertMap, total: number): Float64Array {
     const { speeds } = this.ranks;
@@ -129,7 +130,7 @@
     return levelRequests({ expertTokens, speeds }, total);
   }
 
-  /** Moves experts or stays, and tells an operator why. */
+  /** Decides whether to move experts, and emits an event with the reason. */
   decide(decision: Decision): Plan {
     const plan = this.planFor(decision);
     if (plan.kind === "move") this.reportMove(plan, decision);
@@ -138,14 +139,14 @@
   }
 
   private planFor(decision: Decision): Plan {
-    if (this.forecast.observedWindows < LEAST_WINDOWS) {
+    if (this.forecast.observedWindows < MIN_OBSERVED_WINDOWS) {
       return stay("no-reports");
     }
     if (decision.switchPending) return stay("switch-pending");
     const input = this.planInput(decision);
     const plan = this.planner.plan(input);
-    this.putToProof(plan, input);
-    if (plan.kind === "move" && !this.holdsOnHistory(plan, input)) {
+    this.startEvaluation(plan, input);
+    if (plan.kind === "move" && !this.isWorthwhileOnHistory(plan, input)) {
       return {
         kind: "stay",
         reason: "not-worth-cost",
@@ -158,35 +159,40 @@
   private planInput(decision: Decision): PlanInput {
     return {
       map: decision.map,
-      load: this.forecast.predict(LEAD_WINDOWS),
+      load: this.forecast.predict(FORECAST_LEAD_WINDOWS),
       ranks: this.ranks,
       costs: decision.costs,
       skewWeight: decision.skewWeight,
-      confidence: this.benefit.confidence,
+      confidence: this.planAccuracy.confidence,
     };
   }
 
   /**
-   * As far as demand is known to return to where it was, what counts is what
-   * the plan would have saved there.
+   * Weighs the predicted saving against the one on recent windows, by the share
+   * of demand that is known to return to earlier levels.
    */
-  private holdsOnHistory(plan: MovePlan, input: PlanInput): boolean {
+  private isWorthwhileOnHistory(plan: MovePlan, input: PlanInput): boolean {
     const { map, ranks, confidence } = input;
     const { skewBefore, skewAfter, transferSeconds } = plan.predicted;
-    const foretold = 1 - skewAfter / skewBefore;
-    const past = this.history.savedShare(map, plan.map, ranks);
+    const predicted = 1 - skewAfter / skewBefore;
+    const historical = this.history.savedShare(map, plan.map, ranks);
     const { returningShare } = this.forecast;
-    const share = (1 - returningShare) * foretold + returningShare * past;
+    const share =
+      (1 - returningShare) * predicted + returningShare * historical;
     const saved = confidence * share * this.limits.horizonSeconds;
     return isWorthwhile(input, this.limits, saved, transferSeconds);
   }
 
-  /** A plan that only low confidence holds back is put to the proof as well. */
-  private putToProof(plan: Plan, { map }: PlanInput): void {
-    const tried = plan.kind === "move" ? plan : plan.heldBack;
-    if (tried === undefined) return;
-    const { skewBefore, skewAfter } = tried.predicted;
-    this.benefit.start(map, tried.map, 1 - skewAfter / skewBefore);
+  /** Also evaluates a plan that was rejected only for low confidence. */
+  private startEvaluation(plan: Plan, { map }: PlanInput): void {
+    const candidate = plan.kind === "move" ? plan : plan.fullConfidencePlan;
+    if (candidate === undefined) return;
+    const { skewBefore, skewAfter } = candidate.predicted;
+    this.planAccuracy.startEvaluation(
+      map,
+      candidate.map,
+      1 - skewAfter / skewBefore,
+    );
   }
 
   private observeRequests(reports: readonly RankReport[]): void {
@@ -200,7 +206,7 @@
   private reportSlowRanks(): void {
     const slow = new Set<number>();
     this.rankSpeeds.current().forEach((speed, rank) => {
-      if (speed >= SLOW_RANK_SPEED) return;
+      if (speed >= SLOW_RANK_THRESHOLD) return;
       slow.add(rank);
       if (!this.slowRanks.has(rank)) this.emit(183, { rank, speed });
     });
@@ -217,7 +223,7 @@
       skewAfter: plan.predicted.skewAfter,
       savedSeconds: plan.predicted.savedSeconds,
       skewWeight,
-      confidence: this.benefit.confidence,
+      confidence: this.planAccuracy.confidence,
     });
   }
 
@@ -226,11 +232,11 @@
     { skewBefore }: PlanForecast,
     { map }: Decision,
   ): void {
-    const { confidence } = this.benefit;
+    const { confidence } = this.planAccuracy;
     this.emit(182, { map: map.version, reason, skew: skewBefore, confidence });
   }
 }
 
 function stay(reason: StayReason): Plan {
-  return { kind: "stay", reason, predicted: NOTHING_PREDICTED };
+  return { kind: "stay", reason, predicted: NO_FORECAST };
 }
--- a/src/balance/expert-map.ts
+++ b/src/balance/expert-map.ts
@@ -1,4 +1,4 @@
-/** Making, checking and comparing expert maps. */
+/** Creates, validates and compares expert maps. */
 import { Left, Right, type Either } from "purify-ts/Either";
 import { failure, type ApricotdeckError } from "../internal.js";
 import {
@@ -18,31 +18,31 @@
 }
 
 /**
- * A map that knows nothing of the load: experts dealt out in order, and the
- * spare slots dealt to the first experts again.
+ * Creates a map without knowledge of the load: experts are assigned round-robin
+ * over the ranks, and spare slots start over with the first experts.
  */
 export function createEvenMap(shape: GroupShape): ExpertMap {
   const { ranks, slotsPerRank } = shape;
   const perLayer = ranks * slotsPerRank;
   const slots = new Int16Array(slotCount(shape)).fill(EMPTY_SLOT);
   for (let start = 0; start < slots.length; start += perLayer) {
-    dealLayer(shape, slots.subarray(start, start + perLayer));
+    assignRoundRobin(shape, slots.subarray(start, start + perLayer));
   }
   return { version: 0, shape, slots };
 }
 
-function dealLayer(shape: GroupShape, slots: Int16Array): void {
+function assignRoundRobin(shape: GroupShape, slots: Int16Array): void {
   const { ranks, experts, slotsPerRank } = shape;
-  for (let dealt = 0; dealt < slots.length; dealt++) {
-    const start = (dealt % ranks) * slotsPerRank;
+  for (let index = 0; index < slots.length; index++) {
+    const start = (index % ranks) * slotsPerRank;
     const held = slots.subarray(start, start + slotsPerRank);
-    let expert = dealt % experts;
+    let expert = index % experts;
     while (held.includes(expert)) expert = (expert + 1) % experts;
-    held[Math.floor(dealt / ranks)] = expert;
+    held[Math.floor(index / ranks)] = expert;
   }
 }
 
-/** A layer must fit its group, and no rank needs an expert twice. */
+/** Checks that all experts fit and that no rank needs an expert twice. */
 export function checkShape(
   shape: GroupShape,
 ): Either<ApricotdeckError, GroupShape> {
@@ -96,8 +96,8 @@
 }
 
 /**
- * Rearranges each rank's slots of the target so that an expert which a rank
- * holds already stays in its slot: only what a rank lacks costs a fetch.
+ * Rearranges each rank's slots of the target so that an expert the rank
+ * already holds stays in its slot and needs no fetch.
  */
 export function alignSlots(
   shape: GroupShape,
@@ -126,7 +126,7 @@
   }
 }
 
-/** The fetches that lead from one map to another of the same shape. */
+/** Fetches needed to get from one map to another of the same shape. */
 export function movesBetween(
   from: ExpertMap,
   to: ExpertMap,
@@ -149,7 +149,7 @@
   return moves;
 }
 
-/** The map after the moves, under the next version. */
+/** Returns the map with the moves applied, under the next version. */
 export function applyMoves(
   map: ExpertMap,
   moves: readonly ExpertMove[],
--- a/src/balance/forecast-record.ts
+++ b/src/balance/forecast-record.ts
@@ -1,9 +1,11 @@
-/** How well each of several forecasts foretold the load some windows ago. */
-import { squaredDistance, squares } from "./numbers.js";
+/**
+ * Tracks the accuracy of several forecasts to weight them against each other.
+ */
+import { squaredDistance, sumOfSquares } from "./numbers.js";
 
-/** Windows between a forecast and the check of it. */
-export const CHECK_LEAD = 8;
-const CHECK_EVERY = 2;
+/** Windows between a forecast and its comparison with the actual load. */
+export const CHECK_LEAD_WINDOWS = 8;
+const CHECK_INTERVAL_WINDOWS = 2;
 const ERROR_DECAY = 0.9;
 /** Relative squared error below which two forecasts count as equal. */
 const ERROR_FLOOR = 1e-5;
@@ -13,7 +15,7 @@
   readonly forecasts: readonly Float64Array[];
 }
 
-export class ForecastRecord {
+export class ForecastAccuracy {
   private readonly errors: Float64Array;
   private snapshots: readonly Snapshot[] = [];
   private windows = 0;
@@ -22,33 +24,33 @@
     this.errors = new Float64Array(forecasts);
   }
 
-  static create(forecasts: number): ForecastRecord {
-    return new ForecastRecord(forecasts);
+  static create(forecasts: number): ForecastAccuracy {
+    return new ForecastAccuracy(forecasts);
   }
 
-  /** Weights of the forecasts, one in all. */
+  /** Weights of the forecasts by accuracy; they sum to 1. */
   get weights(): readonly number[] {
-    const trust = Array.from(
+    const scores = Array.from(
       this.errors,
       (error) => (error + ERROR_FLOOR) ** -2,
     );
-    const total = trust.reduce((sum, value) => sum + value, 0);
-    return trust.map((value) => value / total);
+    const total = scores.reduce((sum, value) => sum + value, 0);
+    return scores.map((value) => value / total);
   }
 
   /**
-   * A window has passed: checks what was foretold for it against the actual
-   * load, and now and then keeps what is foretold from here (`foretell`).
+   * Compares the forecast that is due for this window with the actual load, and
+   * every few windows keeps a new one, computed by `forecastFor`.
    */
   advance(
     actual: Float64Array,
-    foretell: (leadWindows: number) => readonly Float64Array[],
+    forecastFor: (leadWindows: number) => readonly Float64Array[],
   ): void {
     this.windows++;
     this.check(actual);
-    if (this.windows % CHECK_EVERY !== 0) return;
-    const dueWindow = this.windows + CHECK_LEAD;
-    const forecasts = foretell(CHECK_LEAD);
+    if (this.windows % CHECK_INTERVAL_WINDOWS !== 0) return;
+    const dueWindow = this.windows + CHECK_LEAD_WINDOWS;
+    const forecasts = forecastFor(CHECK_LEAD_WINDOWS);
     this.snapshots = [...this.snapshots, { dueWindow, forecasts }];
   }
 
@@ -56,10 +58,10 @@
     const due = this.snapshots.at(0);
     if (due?.dueWindow !== this.windows) return;
     this.snapshots = this.snapshots.slice(1);
-    const size = squares(actual);
-    if (size === 0) return;
+    const totalSquares = sumOfSquares(actual);
+    if (totalSquares === 0) return;
     due.forecasts.forEach((forecast, index) => {
-      const error = squaredDistance(forecast, actual) / size;
+      const error = squaredDistance(forecast, actual) / totalSquares;
       const old = this.errors[index];
       this.errors[index] = ERROR_DECAY * old + (1 - ERROR_DECAY) * error;
     });
--- a/src/balance/jump-watch.ts
+++ b/src/balance/jump-watch.ts
@@ -1,71 +1,74 @@
 /**
- * Tells a lasting jump of demand from noise and drift, so that the forecast
- * can drop what it knew before: the slow mean would hold on to the old demand
- * for minutes, in which a wave is levelled by half.
+ * Distinguishes a lasting jump of demand from noise and drift, so that the
+ * forecast can restart: otherwise the slow mean would keep the old demand for
+ * minutes, and the planner would correct only half of the change.
  *
- * Demand that jumps again and again swings, and there the slow mean is what
- * keeps moves from chasing it: each jump doubles the time until the next one
- * counts.
+ * Demand that jumps repeatedly oscillates, and then the slow mean is what keeps
+ * the planner from following each swing: each accepted jump doubles the
+ * cooldown before the next one is accepted.
  */
 
-/** Root mean square change of an expert's tokens over its mean. */
-const LEAST_CHANGE = 0.15;
-/** Squared change over what noise gives; 1 is noise alone. */
-const LEAST_OVER_NOISE = 4;
-/** Windows in a row: one alone may be a burst of a single caller. */
-const LEAST_WINDOWS = 2;
-/** Windows from one jump to the next that counts. */
-const FIRST_PATIENCE = 24;
-/** Quiet for so many times its patience, a layer is as if new. */
-const FORGIVEN_AFTER = 4;
+/** Minimum root mean square change of the tokens, relative to their mean. */
+const MIN_RELATIVE_CHANGE = 0.15;
+/** Minimum squared change relative to noise; 1 is noise alone. */
+const MIN_NOISE_RATIO = 4;
+/** Consecutive windows required: one may be a burst of a single caller. */
+const MIN_CONSECUTIVE_WINDOWS = 2;
+/** Initial cooldown after an accepted jump. */
+const INITIAL_COOLDOWN_WINDOWS = 24;
+/** A layer without jumps for this multiple of its cooldown resets it. */
+const COOLDOWN_RESET_FACTOR = 4;
 
-/** How far one window lies from the mean, in one layer. */
+/** Deviation of one window of a layer from its mean. */
 export interface LayerDeviation {
   readonly squaredChange: number;
   readonly squaredLevel: number;
-  /** What noise alone would give for squaredChange. */
+  /** Expected squaredChange from noise alone. */
   readonly noise: number;
 }
 
-export class JumpWatch {
+export class JumpDetector {
   private readonly streak: Int32Array;
-  private readonly sinceJump: Int32Array;
-  private readonly patience: Int32Array;
+  private readonly windowsSinceJump: Int32Array;
+  private readonly cooldown: Int32Array;
 
   private constructor(layers: number) {
     this.streak = new Int32Array(layers);
-    this.sinceJump = new Int32Array(layers).fill(FIRST_PATIENCE);
-    this.patience = new Int32Array(layers).fill(FIRST_PATIENCE);
+    this.windowsSinceJump = new Int32Array(layers).fill(
+      INITIAL_COOLDOWN_WINDOWS,
+    );
+    this.cooldown = new Int32Array(layers).fill(INITIAL_COOLDOWN_WINDOWS);
   }
 
-  static create(layers: number): JumpWatch {
-    return new JumpWatch(layers);
+  static create(layers: number): JumpDetector {
+    return new JumpDetector(layers);
   }
 
-  /** Takes in a window of a layer; true when its demand is elsewhere now. */
+  /** Processes a window of a layer; true if its demand has jumped. */
   observe(layer: number, deviation: LayerDeviation): boolean {
-    this.sinceJump[layer]++;
-    this.streak[layer] = isFar(deviation) ? this.streak[layer] + 1 : 0;
-    if (this.streak[layer] < LEAST_WINDOWS) return false;
+    this.windowsSinceJump[layer]++;
+    this.streak[layer] = exceedsNoise(deviation) ? this.streak[layer] + 1 : 0;
+    if (this.streak[layer] < MIN_CONSECUTIVE_WINDOWS) return false;
     this.streak[layer] = 0;
     return true;
   }
 
-  /** Whether a new demand may count as one that lasts; it does from then on. */
+  /** Accepts a jump as lasting if the cooldown is over; starts the next one. */
   accept(layer: number): boolean {
-    const { sinceJump, patience } = this;
-    if (sinceJump[layer] < patience[layer]) return false;
-    const isForgiven = sinceJump[layer] > FORGIVEN_AFTER * patience[layer];
-    patience[layer] = isForgiven ? FIRST_PATIENCE : 2 * patience[layer];
-    sinceJump[layer] = 0;
+    const { windowsSinceJump, cooldown } = this;
+    if (windowsSinceJump[layer] < cooldown[layer]) return false;
+    const isReset =
+      windowsSinceJump[layer] > COOLDOWN_RESET_FACTOR * cooldown[layer];
+    cooldown[layer] = isReset ? INITIAL_COOLDOWN_WINDOWS : 2 * cooldown[layer];
+    windowsSinceJump[layer] = 0;
     return true;
   }
 }
 
-function isFar(deviation: LayerDeviation): boolean {
+function exceedsNoise(deviation: LayerDeviation): boolean {
   const { squaredChange, squaredLevel, noise } = deviation;
   return (
-    squaredChange > LEAST_CHANGE ** 2 * squaredLevel &&
-    squaredChange > LEAST_OVER_NOISE * noise
+    squaredChange > MIN_RELATIVE_CHANGE ** 2 * squaredLevel &&
+    squaredChange > MIN_NOISE_RATIO * noise
   );
 }
--- a/src/balance/layer-search.ts
+++ b/src/balance/layer-search.ts
@@ -1,32 +1,32 @@
 /**
- * Local search in one layer: always relieve the slowest rank, by the change
- * that lowers the time of the ranks it touches most for each expert fetched.
- * Changes: give an expert one more replica in place of a redundant one (one
- * fetch), or swap two experts between ranks (two fetches).
+ * Local search in one layer: each step relieves the slowest rank by the change
+ * with the greatest gain per expert fetched. A change either gives an expert
+ * one more replica in place of a redundant one (one fetch) or swaps two experts
+ * between ranks (two fetches).
  *
- * Made for 64 ranks of 3 slots and 128 experts a layer: about 1,400 changes
- * are weighed a step, each in a few additions, so that 60 layers fit into the
+ * Sized for 64 ranks of 3 slots and 128 experts per layer: a step compares
+ * about 1,400 changes, each in a few additions, so that 60 layers fit into the
  * planner's 50 ms.
  */
 import { EMPTY_SLOT, type GroupShape } from "./types.js";
 
-/** A change that gains less of the layer's time isn't worth a fetch. */
-const LEAST_RELATIVE_GAIN = 1e-4;
+/** Smallest gain, relative to the layer's time, that is worth a fetch. */
+const MIN_RELATIVE_GAIN = 1e-4;
 
 const NO_SWAP = -1;
 
-/** One change and the slowest rank's time after it. */
+/** An applied change and the slowest rank's time after it. */
 export interface SearchStep {
   readonly slots: readonly number[];
   readonly experts: readonly number[];
   readonly slowest: number;
 }
 
-interface Change {
+interface CandidateChange {
   readonly slot: number;
-  /** Expert that the slot takes. */
+  /** Expert that is put into the slot. */
   readonly expert: number;
-  /** Slot that gives up the expert and takes the other's, or NO_SWAP. */
+  /** Slot that swaps its expert with `slot`, or NO_SWAP. */
   readonly swappedSlot: number;
 }
 
@@ -34,17 +34,20 @@
   private readonly slots: Int16Array;
   private readonly rankOfSlot: Int16Array;
   private readonly replicas: Int16Array;
-  /** Tokens of one replica of each expert. */
+  /** Tokens per replica of each expert. */
   private readonly shares: Float64Array;
-  /** Ranks of each expert: expert * ranks + n, for n below `replicas`. */
+  /**
+   * Ranks holding each expert, at expert * ranks + n for n below `replicas`.
+   */
   private readonly holders: Int16Array;
+  /** 1 if a rank holds an expert, at expert * ranks + rank. */
   private readonly holds: Uint8Array;
   private readonly tokens: Float64Array;
   private readonly times: Float64Array;
   private readonly slowness: Float64Array;
-  /** Ranks that take no further expert. */
-  private readonly closed: Uint8Array;
-  private best: Change | undefined;
+  /** 1 for each rank that must not receive another expert. */
+  private readonly closedRanks: Uint8Array;
+  private best: CandidateChange | undefined;
   private bestGain = 0;
 
   private constructor(private readonly shape: GroupShape) {
@@ -60,17 +63,17 @@
     this.tokens = new Float64Array(experts);
     this.times = new Float64Array(ranks);
     this.slowness = new Float64Array(ranks);
-    this.closed = new Uint8Array(ranks);
+    this.closedRanks = new Uint8Array(ranks);
   }
 
-  /** The working memory of one search, reused for layer after layer. */
+  /** Allocates the buffers once; `load` reuses them for each layer. */
   static create(shape: GroupShape): LayerSearch {
     return new LayerSearch(shape);
   }
 
   /**
-   * Loads a layer: its slots, the tokens of its experts, the request work in
-   * this layer and the speed of each rank.
+   * Loads a layer: its slots, the tokens per expert, and per rank the request
+   * work in this layer and the speed.
    */
   load(
     slots: ArrayLike<number>,
@@ -78,13 +81,13 @@
     requestTokens: ArrayLike<number>,
     speeds: ArrayLike<number>,
   ): void {
-    this.closed.fill(0);
+    this.closedRanks.fill(0);
     this.replicas.fill(0);
     this.holds.fill(0);
     this.tokens.set(tokens);
     this.slots.fill(EMPTY_SLOT);
     for (let slot = 0; slot < this.slots.length; slot++) {
-      if (slots[slot] !== EMPTY_SLOT) this.hold(slot, slots[slot]);
+      if (slots[slot] !== EMPTY_SLOT) this.placeExpert(slot, slots[slot]);
     }
     for (let rank = 0; rank < this.shape.ranks; rank++) {
       this.slowness[rank] = 1 / speeds[rank];
@@ -115,12 +118,12 @@
     return Math.sqrt(total) * this.slowness[slowest];
   }
 
-  /** No further step brings an expert to the rank, until the next load. */
+  /** Stops further steps from moving experts to the rank until `load`. */
   close(rank: number): void {
-    this.closed[rank] = 1;
+    this.closedRanks[rank] = 1;
   }
 
-  /** Slots of the layer as the steps so far left them. */
+  /** Slots of the layer after the steps taken so far. */
   get currentSlots(): ArrayLike<number> {
     return this.slots;
   }
@@ -144,11 +147,11 @@
     return slowest;
   }
 
-  private bestChange(): Change | undefined {
+  private bestChange(): CandidateChange | undefined {
     const slowest = this.slowestRank();
     const start = slowest * this.shape.slotsPerRank;
     this.best = undefined;
-    this.bestGain = this.times[slowest] * LEAST_RELATIVE_GAIN;
+    this.bestGain = this.times[slowest] * MIN_RELATIVE_GAIN;
     for (let slot = start; slot < start + this.shape.slotsPerRank; slot++) {
       const expert = this.slots[slot];
       if (expert === EMPTY_SLOT) continue;
@@ -159,35 +162,35 @@
     return this.best;
   }
 
-  /** One more replica of an expert of the slowest rank, on another rank. */
+  /** Considers replicating an expert of the slowest rank on another rank. */
   private considerReplicas(slowest: number, expert: number): void {
     const share = this.tokens[expert] / (this.replicas[expert] + 1);
     const before = this.times[slowest];
     for (let slot = 0; slot < this.slots.length; slot++) {
-      // Most slots fall out here, by the cheapest question.
-      const touched = this.timeAfterPlacing(slot, share);
-      if (before - touched <= this.bestGain) continue;
+      // The cheapest check goes first, as it rules out most slots.
+      const targetTime = this.timeAfterPlacing(slot, share);
+      if (before - targetTime <= this.bestGain) continue;
       const rank = this.rankOfSlot[slot];
       if (rank === slowest || this.isHeld(expert, rank)) continue;
-      if (this.closed[rank] === 1 || !this.isRedundant(slot)) continue;
-      this.considerPlacing(slowest, slot, expert, touched);
+      if (this.closedRanks[rank] === 1 || !this.isRedundant(slot)) continue;
+      this.considerPlacing(slowest, slot, expert, targetTime);
     }
   }
 
-  /** The slowest rank gives up a redundant replica for a cooler expert. */
+  /** Considers replacing a redundant replica by an expert with less load. */
   private considerDropping(slowest: number, slot: number): void {
-    if (this.closed[slowest] === 1) return;
+    if (this.closedRanks[slowest] === 1) return;
     const before = this.times[slowest];
     for (let expert = 0; expert < this.replicas.length; expert++) {
       const share = this.tokens[expert] / (this.replicas[expert] + 1);
-      const touched = this.timeAfterPlacing(slot, share);
-      if (before - touched <= this.bestGain) continue;
+      const targetTime = this.timeAfterPlacing(slot, share);
+      if (before - targetTime <= this.bestGain) continue;
       if (this.isHeld(expert, slowest)) continue;
-      this.considerPlacing(slowest, slot, expert, touched);
+      this.considerPlacing(slowest, slot, expert, targetTime);
     }
   }
 
-  /** Time of a slot's rank when an expert of this share takes the slot. */
+  /** Time of a slot's rank after an expert with this share takes the slot. */
   private timeAfterPlacing(slot: number, share: number): number {
     const dropped = this.slots[slot];
     const droppedShare = dropped === EMPTY_SLOT ? 0 : this.shares[dropped];
@@ -204,7 +207,7 @@
     return this.holds[expert * this.shape.ranks + rank] === 1;
   }
 
-  /** `targetTime` is that of the slot's own rank after the change. */
+  /** `targetTime` is the time of the slot's rank after the change. */
   private considerPlacing(
     slowest: number,
     slot: number,
@@ -215,26 +218,35 @@
     const dropped = this.slots[slot];
     const target = this.rankOfSlot[slot];
     const replicas = this.replicas[added];
-    const relief = this.shares[added] - this.tokens[added] / (replicas + 1);
-    let touched = targetTime;
+    const shareReduction =
+      this.shares[added] - this.tokens[added] / (replicas + 1);
+    let slowestAffected = targetTime;
     if (target !== slowest) {
-      touched = Math.max(touched, before - relief * this.slowness[slowest]);
+      slowestAffected = Math.max(
+        slowestAffected,
+        before - shareReduction * this.slowness[slowest],
+      );
     }
-    if (before - touched <= this.bestGain) return;
-    const burden = this.slowestAfterDrop(dropped, added, target, relief);
-    touched = Math.max(touched, burden);
-    const gain = before - touched;
+    if (before - slowestAffected <= this.bestGain) return;
+    const slowestHolderTime = this.slowestAfterDrop(
+      dropped,
+      added,
+      target,
+      shareReduction,
+    );
+    slowestAffected = Math.max(slowestAffected, slowestHolderTime);
+    const gain = before - slowestAffected;
     if (gain <= this.bestGain) return;
     this.bestGain = gain;
     this.best = { slot, expert: added, swappedSlot: NO_SWAP };
   }
 
-  /** Slowest of the ranks that take over the share of a dropped replica. */
+  /** Greatest time among the ranks that take over a dropped replica's share. */
   private slowestAfterDrop(
     dropped: number,
     added: number,
     target: number,
-    relief: number,
+    shareReduction: number,
   ): number {
     if (dropped === EMPTY_SLOT) return 0;
     const replicas = this.replicas[dropped];
@@ -244,15 +256,19 @@
     for (let index = first; index < first + replicas; index++) {
       const rank = this.holders[index];
       if (rank === target) continue;
-      const work = this.isHeld(added, rank) ? extra - relief : extra;
+      const work = this.isHeld(added, rank) ? extra - shareReduction : extra;
       const time = this.times[rank] + work * this.slowness[rank];
       if (time > slowest) slowest = time;
     }
     return slowest;
   }
 
-  private considerSwaps(slowest: number, own: number, expert: number): void {
-    if (this.closed[slowest] === 1) return;
+  private considerSwaps(
+    slowest: number,
+    ownSlot: number,
+    expert: number,
+  ): void {
+    if (this.closedRanks[slowest] === 1) return;
     const { shares, times, slowness, rankOfSlot } = this;
     const before = times[slowest];
     const share = shares[expert];
@@ -260,21 +276,21 @@
       const other = this.slots[slot];
       if (other === EMPTY_SLOT) continue;
       const work = share - shares[other];
-      // Two fetches have to gain twice as much as one.
+      // A swap costs two fetches, so it must gain twice as much.
       const limit = before - 2 * this.bestGain;
-      const gives = before - work * slowness[slowest];
-      if (gives >= limit) continue;
+      const ownTimeAfter = before - work * slowness[slowest];
+      if (ownTimeAfter >= limit) continue;
       const rank = rankOfSlot[slot];
-      if (this.closed[rank] === 1) continue;
-      const takes = times[rank] + work * slowness[rank];
-      if (takes >= limit) continue;
+      if (this.closedRanks[rank] === 1) continue;
+      const otherTimeAfter = times[rank] + work * slowness[rank];
+      if (otherTimeAfter >= limit) continue;
       if (this.isHeld(other, slowest) || this.isHeld(expert, rank)) continue;
-      this.bestGain = (before - Math.max(gives, takes)) / 2;
-      this.best = { slot, expert, swappedSlot: own };
+      this.bestGain = (before - Math.max(ownTimeAfter, otherTimeAfter)) / 2;
+      this.best = { slot, expert, swappedSlot: ownSlot };
     }
   }
 
-  private apply(change: Change): SearchStep {
+  private apply(change: CandidateChange): SearchStep {
     const { slot, expert, swappedSlot } = change;
     if (swappedSlot === NO_SWAP) {
       this.replace(slot, expert);
@@ -291,14 +307,14 @@
 
   private replace(slot: number, added: number): void {
     const dropped = this.slots[slot];
-    this.shiftWork(added, -1);
+    this.addExpertWork(added, -1);
     if (dropped !== EMPTY_SLOT) {
-      this.shiftWork(dropped, -1);
-      this.release(slot);
-      this.shiftWork(dropped, 1);
+      this.addExpertWork(dropped, -1);
+      this.removeExpert(slot);
+      this.addExpertWork(dropped, 1);
     }
-    this.hold(slot, added);
-    this.shiftWork(added, 1);
+    this.placeExpert(slot, added);
+    this.addExpertWork(added, 1);
   }
 
   private swap(one: number, two: number): void {
@@ -309,14 +325,14 @@
     const rankTwo = this.rankOfSlot[two];
     this.times[rankOne] -= work * this.slowness[rankOne];
     this.times[rankTwo] += work * this.slowness[rankTwo];
-    this.release(one);
-    this.release(two);
-    this.hold(one, expertTwo);
-    this.hold(two, expertOne);
+    this.removeExpert(one);
+    this.removeExpert(two);
+    this.placeExpert(one, expertTwo);
+    this.placeExpert(two, expertOne);
   }
 
-  /** Adds (1) or takes off (-1) an expert's work on all of its ranks. */
-  private shiftWork(expert: number, sign: number): void {
+  /** Adds (1) or subtracts (-1) an expert's work on all ranks that hold it. */
+  private addExpertWork(expert: number, sign: number): void {
     const replicas = this.replicas[expert];
     if (replicas === 0) return;
     const work = (sign * this.tokens[expert]) / replicas;
@@ -327,7 +343,7 @@
     }
   }
 
-  private hold(slot: number, expert: number): void {
+  private placeExpert(slot: number, expert: number): void {
     const first = expert * this.shape.ranks;
     const rank = this.rankOfSlot[slot];
     this.holders[first + this.replicas[expert]] = rank;
@@ -337,7 +353,7 @@
     this.slots[slot] = expert;
   }
 
-  private release(slot: number): void {
+  private removeExpert(slot: number): void {
     const expert = this.slots[slot];
     const first = expert * this.shape.ranks;
     const rank = this.rankOfSlot[slot];
--- a/src/balance/layers.ts
+++ b/src/balance/layers.ts
@@ -1,8 +1,8 @@
-/** Views of single layers. */
+/** Access to the load values and the slots of a single layer. */
 import { layerStart } from "./expert-map.js";
 import type { ExpertMap } from "./types.js";
 
-/** The part of values by layer and expert that belongs to a layer. */
+/** Returns a view of one layer's values (layer * experts + expert). */
 export function layerValues(
   values: Float64Array,
   layer: number,
@@ -11,7 +11,7 @@
   return values.subarray(layer * experts, (layer + 1) * experts);
 }
 
-/** A copy of a layer's slots. */
+/** Returns a copy of a layer's slots. */
 export function layerSlots(map: ExpertMap, layer: number): Int16Array {
   const perLayer = map.shape.ranks * map.shape.slotsPerRank;
   const start = layerStart(map.shape, layer);
--- a/src/balance/load-forecast.ts
+++ b/src/balance/load-forecast.ts
@@ -1,75 +1,76 @@
 /**
- * Forecast of expert load from late, gappy token counts. Three forecasts run
- * side by side, as no one of them suits every demand: a fast mean (sudden
- * waves), a slow mean (oscillation, where moving after each swing would cost
- * and never pay), and the fast mean with its trend (seasonal drift). They are
- * weighed by how well each foretold the load some windows ago.
+ * Forecasts expert load from late and incomplete token counts. It blends three
+ * forecasts, as none suits every demand: a fast mean (sudden waves), a slow
+ * mean (oscillation, where moving after each swing costs more than it saves),
+ * and the fast mean with its trend (seasonal drift). Their weights follow how
+ * accurately each predicted recent load.
  *
- * Loads are kept as shares of their layer, so a rise of traffic as a whole
- * isn't taken for a shift between experts.
+ * Loads are scaled per layer, so that a rise in total traffic isn't mistaken
+ * for a shift between experts.
  */
-import { ForecastRecord } from "./forecast-record.js";
-import { JumpWatch, type LayerDeviation } from "./jump-watch.js";
+import { ForecastAccuracy } from "./forecast-record.js";
+import { JumpDetector, type LayerDeviation } from "./jump-watch.js";
 import { meanOfKnown } from "./numbers.js";
 import {
-  blendOf,
+  blendForecasts,
   blendVariance,
-  FAST,
+  FAST_SMOOTHING,
   gainAt,
-  SLOW,
-  trendOf,
+  SLOW_SMOOTHING,
+  extrapolateTrend,
 } from "./smoothing.js";
 import type { GroupShape, LoadPrediction } from "./types.js";
 
-/** Marks an expert whose tokens no report told. */
+/** Marks an expert that no report covers. */
 export const UNKNOWN_TOKENS = -1;
 
 const NOISE_SMOOTHING = 0.1;
 /**
- * A jump beyond this many standard deviations is a change of demand and not
- * noise: it may not raise the noise estimate and so blind the planner.
+ * Squared changes are clipped at this multiple of the expected variance (three
+ * standard deviations): a greater one is a change of demand, which must not
+ * raise the noise estimate and hide real differences from the planner.
  */
-const NOISE_CLIP = 9;
-/** Counts of tokens that come in whole requests spread at least like this. */
-const LEAST_DISPERSION = 1;
+const NOISE_CLIP_RATIO = 9;
+/** Token counts come in whole requests, so they vary at least like Poisson. */
+const MIN_DISPERSION = 1;
 
-const FORECASTERS = 3;
-/** Windows for which a return counts as a sign of swings. */
-const RETURN_MEMORY = 48;
-/** From this age on a slow mean moves no faster than SLOW. */
-const SETTLED_AGE = Math.round(1 / SLOW);
+const FORECAST_COUNT = 3;
+/** Windows for which a return to earlier demand counts as oscillation. */
+const RETURN_MEMORY_WINDOWS = 48;
+/** Age from which the slow mean is smoothed by SLOW_SMOOTHING. */
+const SETTLED_AGE = Math.round(1 / SLOW_SMOOTHING);
 
 export class LoadForecast {
   private readonly previous: Float64Array;
-  /** Means that the last jump left behind; zero before the first one. */
-  private readonly left: Float64Array;
-  /** 1 for each expert that a report has told of. */
-  private readonly seen: Uint8Array;
+  /** Means before the last jump; zero before the first jump. */
+  private readonly beforeLastJump: Float64Array;
+  /** 1 for each expert that a report has covered. */
+  private readonly reported: Uint8Array;
   private readonly fast: Float64Array;
   private readonly slow: Float64Array;
-  /** Variance of a window's tokens over their mean, of each layer. */
+  /** Variance-to-mean ratio of a window's tokens, per layer. */
   private readonly dispersion: Float64Array;
-  /** Actual tokens for each unit of the means, of each layer. */
+  /** Actual tokens per unit of the means, per layer. */
   private readonly scale: Float64Array;
-  /** Windows that the means of each layer rest on. */
+  /** Number of windows in the means, per layer. */
   private readonly age: Int32Array;
-  private readonly jumps: JumpWatch;
-  /** Window in which a jump of each layer last led back. */
+  private readonly jumpDetector: JumpDetector;
+  /** Window of the last jump back to earlier demand, per layer. */
   private readonly lastReturn: Float64Array;
-  private readonly record = ForecastRecord.create(FORECASTERS);
+  private readonly accuracy = ForecastAccuracy.create(FORECAST_COUNT);
   private windows = 0;
 
   private constructor(private readonly shape: GroupShape) {
     const size = shape.layers * shape.experts;
     this.previous = new Float64Array(size);
-    this.left = new Float64Array(size);
-    this.seen = new Uint8Array(size);
+    this.beforeLastJump = new Float64Array(size);
+    this.reported = new Uint8Array(size);
     this.fast = new Float64Array(size);
     this.slow = new Float64Array(size);
-    this.dispersion = new Float64Array(shape.layers).fill(LEAST_DISPERSION);
+    this.dispersion = new Float64Array(shape.layers).fill(MIN_DISPERSION);
     this.scale = new Float64Array(shape.layers).fill(1);
     this.age = new Int32Array(shape.layers);
-    this.jumps = JumpWatch.create(shape.layers);
+    this.jumpDetector = JumpDetector.create(shape.layers);
     this.lastReturn = new Float64Array(shape.layers).fill(-Infinity);
   }
 
@@ -77,44 +78,46 @@
     return new LoadForecast(shape);
   }
 
-  /** Windows taken in so far. */
+  /** Number of windows observed so far. */
   get observedWindows(): number {
     return this.windows;
   }
 
   /**
-   * How far demand is known to return to where it was: the part of the
-   * forecast that rests on the slow mean, or of the layers that came back.
+   * Share of demand known to return to earlier levels: the weight of the slow
+   * mean or, if greater, the share of layers that returned recently.
    */
   get returningShare(): number {
     const returned = this.lastReturn.filter(
-      (window) => this.windows - window < RETURN_MEMORY,
+      (window) => this.windows - window < RETURN_MEMORY_WINDOWS,
     );
     const { layers } = this.shape;
-    return Math.max(this.record.weights[1], returned.length / layers);
+    return Math.max(this.accuracy.weights[1], returned.length / layers);
   }
 
   /** Weights of the fast mean, the slow mean and the trend. */
   get weights(): readonly number[] {
-    return this.record.weights;
+    return this.accuracy.weights;
   }
 
   /**
-   * Takes in one window of tokens of each layer and expert; an expert that no
-   * report told of (UNKNOWN_TOKENS) keeps its estimate.
+   * Updates the forecast with one window of tokens per layer and expert; an
+   * expert that no report covers (UNKNOWN_TOKENS) keeps its estimate.
    */
   observe(tokens: ArrayLike<number>): void {
-    if (this.windows === 0) this.start(tokens);
-    else this.follow(tokens);
+    if (this.windows === 0) this.initializeMeans(tokens);
+    else this.update(tokens);
     this.windows++;
-    this.record.advance(this.fast, (lead) => [
+    this.accuracy.advance(this.fast, (lead) => [
       this.fast.slice(),
       this.slow.slice(),
-      this.fast.map((fast, index) => trendOf(fast, this.slow[index], lead)),
+      this.fast.map((fast, index) =>
+        extrapolateTrend(fast, this.slow[index], lead),
+      ),
     ]);
   }
 
-  /** The tokens with estimates in place of what no report told of. */
+  /** Returns the tokens with estimates filled in for UNKNOWN_TOKENS. */
   complete(tokens: ArrayLike<number>): Float64Array {
     const { experts } = this.shape;
     return Float64Array.from(this.fast, (mean, index) =>
@@ -124,7 +127,7 @@
     );
   }
 
-  /** The load expected `leadWindows` after the last window taken in. */
+  /** Predicts the load `leadWindows` after the last observed window. */
   predict(leadWindows: number): LoadPrediction {
     const { layers, experts } = this.shape;
     const weights = this.weights;
@@ -132,13 +135,17 @@
     const variance = new Float64Array(this.fast.length);
     for (let layer = 0; layer < layers; layer++) {
       const scale = this.scale[layer];
-      const spread = blendVariance(this.age[layer], weights, leadWindows);
-      const noise = this.dispersion[layer] * spread * scale * scale;
+      const varianceRatio = blendVariance(
+        this.age[layer],
+        weights,
+        leadWindows,
+      );
+      const noise = this.dispersion[layer] * varianceRatio * scale * scale;
       for (let expert = 0; expert < experts; expert++) {
         const index = layer * experts + expert;
         const fast = this.fast[index];
         const slow = this.slow[index];
-        const mean = blendOf(fast, slow, weights, leadWindows);
+        const mean = blendForecasts(fast, slow, weights, leadWindows);
         tokens[index] = mean * scale;
         variance[index] = mean * noise;
       }
@@ -146,27 +153,27 @@
     return { tokens, variance };
   }
 
-  private start(tokens: ArrayLike<number>): void {
+  private initializeMeans(tokens: ArrayLike<number>): void {
     const { layers, experts } = this.shape;
     for (let layer = 0; layer < layers; layer++) {
       const first = layer * experts;
-      const guess = meanOfKnown(tokens, first, first + experts);
+      const layerMean = meanOfKnown(tokens, first, first + experts);
       for (let index = first; index < first + experts; index++) {
-        if (tokens[index] < 0) this.setMeans(index, guess);
-        else this.meet(index, tokens[index]);
+        if (tokens[index] < 0) this.setMeans(index, layerMean);
+        else this.initializeExpert(index, tokens[index]);
       }
       this.age[layer] = 1;
     }
   }
 
   /**
-   * The first report of an expert. Its means start here: a guess or a zero
-   * taken for a report would look like a jump, raise the noise estimate by
-   * orders of magnitude and blind the planner for minutes.
+   * Starts the means of an expert at its first report: continuing from a
+   * default value would look like a jump, raise the noise estimate by orders of
+   * magnitude and keep the planner from acting for minutes.
    */
-  private meet(index: number, value: number): void {
+  private initializeExpert(index: number, value: number): void {
     this.setMeans(index, value);
-    this.seen[index] = 1;
+    this.reported[index] = 1;
   }
 
   private setMeans(index: number, value: number): void {
@@ -175,20 +182,20 @@
     this.previous[index] = value;
   }
 
-  private follow(tokens: ArrayLike<number>): void {
+  private update(tokens: ArrayLike<number>): void {
     for (let layer = 0; layer < this.shape.layers; layer++) {
       const ratio = this.layerRatio(layer, tokens);
-      if (ratio > 0) this.followLayer(layer, tokens, ratio);
+      if (ratio > 0) this.updateLayer(layer, tokens, ratio);
     }
   }
 
-  /** Tokens of the known experts over what their means expect. */
+  /** Actual tokens of the known experts relative to the sum of their means. */
   private layerRatio(layer: number, tokens: ArrayLike<number>): number {
     const { experts } = this.shape;
     let actual = 0;
     let expected = 0;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
-      if (tokens[index] < 0 || this.seen[index] === 0) continue;
+      if (tokens[index] < 0 || this.reported[index] === 0) continue;
       actual += tokens[index];
       expected += this.fast[index];
     }
@@ -196,37 +203,37 @@
     return expected > 0 ? actual / expected : 1;
   }
 
-  private followLayer(
+  private updateLayer(
     layer: number,
     tokens: ArrayLike<number>,
     ratio: number,
   ): void {
     const { experts } = this.shape;
     const deviation = this.deviationOf(layer, tokens, ratio);
-    if (this.jumps.observe(layer, deviation)) {
-      if (this.isReturn(layer, tokens, ratio)) this.settleBetween(layer);
-      else if (this.jumps.accept(layer)) {
-        this.startAgain(layer, tokens, ratio);
+    if (this.jumpDetector.observe(layer, deviation)) {
+      if (this.isReturn(layer, tokens, ratio)) this.averageAcrossReturn(layer);
+      else if (this.jumpDetector.accept(layer)) {
+        this.restartLayer(layer, tokens, ratio);
       }
     }
-    const fastGain = gainAt(this.age[layer], FAST);
-    const slowGain = gainAt(this.age[layer], SLOW);
-    // The first difference has no estimate to be clipped by.
+    const fastGain = gainAt(this.age[layer], FAST_SMOOTHING);
+    const slowGain = gainAt(this.age[layer], SLOW_SMOOTHING);
+    // There is no noise estimate yet to clip the first difference by.
     const clip =
-      this.windows > 1 ? NOISE_CLIP * this.dispersion[layer] : Infinity;
+      this.windows > 1 ? NOISE_CLIP_RATIO * this.dispersion[layer] : Infinity;
     let noise = 0;
     let known = 0;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
       if (tokens[index] < 0) continue;
       const value = tokens[index] / ratio;
-      if (this.seen[index] === 0) {
-        this.meet(index, value);
+      if (this.reported[index] === 0) {
+        this.initializeExpert(index, value);
         continue;
       }
       const change = value - this.previous[index];
       const level = Math.max(this.fast[index], 1);
-      // Two successive windows differ by twice the variance of one; their
-      // difference knows nothing of a slow drift.
+      // The difference of two successive windows has twice the variance of one
+      // and is hardly affected by slow drift.
       noise += Math.min((change * change) / (2 * level), clip);
       known++;
       this.previous[index] = value;
@@ -234,13 +241,13 @@
       this.slow[index] += slowGain * (value - this.slow[index]);
     }
     this.age[layer]++;
-    this.scale[layer] += FAST * (ratio - this.scale[layer]);
-    // One difference fewer than windows has been seen so far.
+    this.scale[layer] += FAST_SMOOTHING * (ratio - this.scale[layer]);
+    // There is one difference fewer than windows.
     const noiseGain = Math.max(NOISE_SMOOTHING, 1 / this.windows);
     if (known === 0) return;
     const step = noiseGain * (noise / known - this.dispersion[layer]);
     const next = this.dispersion[layer] + step;
-    this.dispersion[layer] = Math.max(next, LEAST_DISPERSION);
+    this.dispersion[layer] = Math.max(next, MIN_DISPERSION);
   }
 
   private deviationOf(
@@ -253,7 +260,7 @@
     let squaredLevel = 0;
     let level = 0;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
-      if (tokens[index] < 0 || this.seen[index] === 0) continue;
+      if (tokens[index] < 0 || this.reported[index] === 0) continue;
       const change = tokens[index] / ratio - this.fast[index];
       squaredChange += change * change;
       squaredLevel += this.fast[index] * this.fast[index];
@@ -263,45 +270,45 @@
     return { squaredChange, squaredLevel, noise };
   }
 
-  /** After a jump the means rest on the window before this one. */
-  private startAgain(
+  /** Restarts a layer's means from the previous window after a jump. */
+  private restartLayer(
     layer: number,
     tokens: ArrayLike<number>,
     ratio: number,
   ): void {
     const { experts } = this.shape;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
-      if (tokens[index] < 0 || this.seen[index] === 0) continue;
-      this.left[index] = this.fast[index];
+      if (tokens[index] < 0 || this.reported[index] === 0) continue;
+      this.beforeLastJump[index] = this.fast[index];
       this.setMeans(index, this.previous[index]);
       this.previous[index] = tokens[index] / ratio;
     }
     this.age[layer] = 1;
   }
 
-  /** Whether a jump leads back to the demand that the last one left. */
+  /** Whether a jump returns to the demand before the previous jump. */
   private isReturn(
     layer: number,
     tokens: ArrayLike<number>,
     ratio: number,
   ): boolean {
     const { experts } = this.shape;
-    let toLeft = 0;
-    let toHere = 0;
+    let distanceToEarlier = 0;
+    let distanceToCurrent = 0;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
       if (tokens[index] < 0) continue;
       const value = tokens[index] / ratio;
-      toLeft += (value - this.left[index]) ** 2;
-      toHere += (value - this.fast[index]) ** 2;
+      distanceToEarlier += (value - this.beforeLastJump[index]) ** 2;
+      distanceToCurrent += (value - this.fast[index]) ** 2;
     }
-    return toLeft < toHere;
+    return distanceToEarlier < distanceToCurrent;
   }
 
-  /** Demand that comes back swings: its mean is between the two ends. */
-  private settleBetween(layer: number): void {
+  /** Demand that returns oscillates: its mean lies between both extremes. */
+  private averageAcrossReturn(layer: number): void {
     const { experts } = this.shape;
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
-      this.slow[index] = (this.fast[index] + this.left[index]) / 2;
+      this.slow[index] = (this.fast[index] + this.beforeLastJump[index]) / 2;
     }
     this.age[layer] = SETTLED_AGE;
     this.lastReturn[layer] = this.windows;
--- a/src/balance/load-history.ts
+++ b/src/balance/load-history.ts
@@ -1,22 +1,22 @@
 /**
- * The load of recent windows, to try a plan on. A plan is made for the load
- * expected on average, but a step waits for the slowest rank: where demand
- * swings, a map that is even for the mean may be uneven at either end of the
- * swing, and each small move from there to here pays on paper only.
+ * Keeps the load of recent windows to evaluate plans against. A plan is made
+ * for the expected mean load, but a step waits for the slowest rank: when
+ * demand oscillates, a map that is even for the mean may be uneven at either
+ * extreme, so that small moves only appear to save time.
  */
 import { rankTimes, stepTime } from "./step-model.js";
 import type { ExpertMap, RankState } from "./types.js";
 
-/** Every second window of the last 24: four minutes, a dozen comparisons. */
-const KEEP = 12;
-const EVERY = 2;
+/** Every second window of the last 24 (four minutes at ten seconds each). */
+const MAX_SAMPLES = 12;
+const SAMPLE_INTERVAL_WINDOWS = 2;
 
 export class LoadHistory {
-  private kept: readonly ArrayLike<number>[] = [];
+  private samples: readonly ArrayLike<number>[] = [];
   private windows = 0;
 
   private constructor() {
-    // Made by create.
+    // Instances are made by create().
   }
 
   static create(): LoadHistory {
@@ -25,18 +25,18 @@
 
   observe(tokens: ArrayLike<number>): void {
     this.windows++;
-    if (this.windows % EVERY !== 0) return;
-    this.kept = [...this.kept, tokens].slice(-KEEP);
+    if (this.windows % SAMPLE_INTERVAL_WINDOWS !== 0) return;
+    this.samples = [...this.samples, tokens].slice(-MAX_SAMPLES);
   }
 
-  /** Mean share of the step time that the new map would have saved. */
+  /** Mean share of step time the new map would have saved on this history. */
   savedShare(from: ExpertMap, to: ExpertMap, ranks: RankState): number {
-    if (this.kept.length === 0) return 0;
+    if (this.samples.length === 0) return 0;
     let saved = 0;
-    for (const tokens of this.kept) {
+    for (const tokens of this.samples) {
       saved += savedShareOn(tokens, from, to, ranks);
     }
-    return saved / this.kept.length;
+    return saved / this.samples.length;
   }
 }
 
@@ -47,12 +47,12 @@
   to: ExpertMap,
   ranks: RankState,
 ): number {
-  const before = slowestUnder(from, tokens, ranks);
-  const after = slowestUnder(to, tokens, ranks);
+  const before = slowestStepTime(from, tokens, ranks);
+  const after = slowestStepTime(to, tokens, ranks);
   return before > 0 ? 1 - after / before : 0;
 }
 
-function slowestUnder(
+function slowestStepTime(
   map: ExpertMap,
   tokens: ArrayLike<number>,
   ranks: RankState,
--- a/src/balance/lower-bound.ts
+++ b/src/balance/lower-bound.ts
@@ -1,15 +1,14 @@
 /**
- * A bound on skew that no map can beat, even one chosen with hindsight for
- * each window. Per layer the greater of two: the work spread perfectly over
- * the ranks' speeds, and the hottest-expert bound, the least time T at which
- * the replicas needed to bring every expert's share under T fit the slots.
- * Packing losses and the cost of getting there are left out, so the true
- * optimum may lie above it.
+ * Lower bound on skew for any map, even one chosen in hindsight per window. Per
+ * layer it is the greater of two times: that of work spread perfectly over the
+ * rank speeds, and the hottest-expert bound, the least time T at which the
+ * replicas that bring every expert's share under T fit the slots. It ignores
+ * packing losses and transfer cost, so the optimum may be higher.
  */
 import { sum } from "./numbers.js";
 import type { GroupShape, RankState } from "./types.js";
 
-const BISECTIONS = 30;
+const BISECTION_ROUNDS = 30;
 
 export function skewLowerBound(
   shape: GroupShape,
@@ -29,15 +28,14 @@
     }
     const spread = (sum(layerTokens) + requestWork) / speedSum;
     ideal += spread;
-    bound += Math.max(spread, hottestBound(shape, layerTokens, capacity));
+    bound += Math.max(spread, hottestExpertBound(shape, layerTokens, capacity));
   }
   return ideal > 0 ? bound / ideal : 1;
 }
 
 /**
- * Tokens a unit of time that an expert with n replicas can get at most when
- * they are split evenly: n times the speed of the n-th fastest rank, made
- * monotonous in n.
+ * Maximum tokens per unit of time for an expert with n evenly used replicas: n
+ * times the speed of the n-th fastest rank, made monotonic in n.
  */
 function replicaCapacity(speeds: ArrayLike<number>): Float64Array {
   const sorted = Float64Array.from(speeds).sort().reverse();
@@ -48,7 +46,7 @@
   return capacity;
 }
 
-function hottestBound(
+function hottestExpertBound(
   shape: GroupShape,
   layerTokens: Float64Array,
   capacity: Float64Array,
@@ -56,7 +54,7 @@
   const slots = shape.ranks * shape.slotsPerRank;
   let high = Math.max(...layerTokens) / capacity[0];
   let low = 0;
-  for (let round = 0; round < BISECTIONS; round++) {
+  for (let round = 0; round < BISECTION_ROUNDS; round++) {
     const middle = (low + high) / 2;
     if (replicasNeeded(layerTokens, capacity, middle) <= slots) high = middle;
     else low = middle;
--- a/src/balance/numbers.ts
+++ b/src/balance/numbers.ts
@@ -1,4 +1,4 @@
-/** Sums and means of typed arrays. */
+/** Sums, means and medians of number arrays. */
 
 export function sum(values: ArrayLike<number>): number {
   let total = 0;
@@ -7,13 +7,13 @@
   return total;
 }
 
-/** The middle value, the upper one of two; 0 of none. */
+/** Median; the upper of two middle values, and 0 for an empty array. */
 export function medianOf(values: readonly number[]): number {
   const sorted = values.toSorted((a, b) => a - b);
   return sorted.at(Math.floor(sorted.length / 2)) ?? 0;
 }
 
-/** Mean of the values that aren't below zero, in a range; 0 of none. */
+/** Mean of the non-negative values in a range; 0 if there are none. */
 export function meanOfKnown(
   values: ArrayLike<number>,
   first: number,
@@ -29,8 +29,7 @@
   return known > 0 ? total / known : 0;
 }
 
-/** Sum of the squares. */
-export function squares(values: Float64Array): number {
+export function sumOfSquares(values: Float64Array): number {
   return values.reduce((total, value) => total + value * value, 0);
 }
 
--- a/src/balance/planner-task.ts
+++ b/src/balance/planner-task.ts
@@ -1,20 +1,19 @@
 /**
- * The background task that keeps one group's experts balanced: window by
- * window, off the path of requests. Who collects the reports and who switches
- * maps is up to the arguments.
+ * Background task that balances the experts of one group, window by window and
+ * off the request path. The caller supplies the reports and switches the maps.
  */
 import type { PlannerThread, PlannerWindow } from "./planner-thread.js";
 import type { MovePlan } from "./types.js";
 
 export interface PlannerTaskOptions {
   readonly planner: Pick<PlannerThread, "decide">;
-  /** Waits for the end of a window; undefined when there are no more. */
+  /** Resolves at the end of a window; undefined when there are no more. */
   readonly nextWindow: () => Promise<PlannerWindow | undefined>;
-  /** Starts the switch to the plan's map; done when it is proposed. */
+  /** Starts the switch to the plan's map; resolves once it is proposed. */
   readonly proposeMap: (plan: MovePlan) => Promise<void>;
 }
 
-/** Runs until the windows end; a failed plan or proposal ends it by throwing. */
+/** Runs until the windows end; throws if a plan or a proposal fails. */
 export async function runPlannerTask(
   options: PlannerTaskOptions,
 ): Promise<void> {
--- a/src/balance/planner-thread.ts
+++ b/src/balance/planner-thread.ts
@@ -1,7 +1,7 @@
 /**
- * A balancer in a thread of its own. A plan for 64 ranks and 60 layers takes
- * some 40 ms, and twice that the first time; an agent that made it between two
- * frames would hold back every stream it serves by as much.
+ * Runs a balancer in its own thread. A plan for 64 ranks and 60 layers takes
+ * about 40 ms, and twice that the first time; on the agent's main thread it
+ * would delay every stream the agent serves by as much.
  */
 import { Worker } from "node:worker_threads";
 import {
@@ -15,12 +15,12 @@
 import type { PlannerLimits } from "./planner.js";
 import type { GroupShape, Plan, RankReport } from "./types.js";
 
-/** One window: what the ranks reported, and what is to be decided on. */
+/** Rank reports of one window and the inputs of the decision. */
 export interface PlannerWindow extends Decision {
   readonly reports: readonly RankReport[];
 }
 
-/** What the thread is started with. */
+/** Worker data the thread is started with. */
 export interface PlannerThreadData {
   readonly shape: GroupShape;
   readonly limits?: PlannerLimits;
@@ -34,14 +34,14 @@
     }
   | { readonly kind: "plan"; readonly plan: Plan };
 
-interface Waiting {
+interface PendingDecision {
   readonly resolve: (plan: Plan) => void;
   readonly reject: (error: ApricotdeckError) => void;
 }
 
 export class PlannerThread implements AsyncDisposable {
-  private readonly waiting: Waiting[] = [];
-  private ended: ApricotdeckError | undefined;
+  private readonly pending: PendingDecision[] = [];
+  private endError: ApricotdeckError | undefined;
 
   private constructor(
     private readonly worker: Worker,
@@ -59,18 +59,18 @@
   }
 
   static create(data: PlannerThreadData, emit: Emit): PlannerThread {
-    const program = new URL("./planner-worker.js", import.meta.url);
-    return new PlannerThread(new Worker(program, { workerData: data }), emit);
+    const workerUrl = new URL("./planner-worker.js", import.meta.url);
+    return new PlannerThread(new Worker(workerUrl, { workerData: data }), emit);
   }
 
-  /** Takes in a window and decides; rejects with 1805 when the thread ended. */
+  /** Processes a window and decides; rejects with 1805 if the thread ended. */
   decide(window: PlannerWindow): Promise<Plan> {
     return new Promise((resolve, reject) => {
-      if (this.ended !== undefined) {
-        reject(this.ended);
+      if (this.endError !== undefined) {
+        reject(this.endError);
         return;
       }
-      this.waiting.push({ resolve, reject });
+      this.pending.push({ resolve, reject });
       this.worker.postMessage(window);
     });
   }
@@ -81,11 +81,11 @@
 
   private onMessage(message: PlannerThreadMessage): void {
     if (message.kind === "event") this.emit(message.number, message.fields);
-    else this.waiting.shift()?.resolve(message.plan);
+    else this.pending.shift()?.resolve(message.plan);
   }
 
   private end(error: ApricotdeckError): void {
-    this.ended ??= error;
-    for (const { reject } of this.waiting.splice(0)) reject(this.ended);
+    this.endError ??= error;
+    for (const { reject } of this.pending.splice(0)) reject(this.endError);
   }
 }
--- a/src/balance/planner-worker.ts
+++ b/src/balance/planner-worker.ts
@@ -1,4 +1,6 @@
-/** Program of the planner's thread: a window in, its events and plan out. */
+/**
+ * Entry point of the planner thread: turns each window into events and a plan.
+ */
 import { parentPort, workerData } from "node:worker_threads";
 import { Balancer, type Emit } from "../internal.js";
 import type {
--- a/src/balance/planner.ts
+++ b/src/balance/planner.ts
@@ -1,12 +1,12 @@
 /**
- * Plans bounded, incremental moves of experts: per layer a short sequence of
- * changes, of which the part is kept whose saving is beyond noise and worth
- * its cost, then over all layers the best changes for each fetch until the
- * bounds on transfer time and memory are reached.
+ * Plans bounded, incremental expert moves. For each layer it searches a short
+ * sequence of changes and keeps the prefix whose saving exceeds noise and cost;
+ * across layers it then picks the best value per fetch until the bounds on
+ * transfer time and memory are reached.
  *
- * Made for demand that drifts: a full repack moves most experts and has its
+ * Suited to drifting demand: a full repack moves most experts and has their
  * weights in place only minutes later (64 ranks, 60 layers: about 120 s at
- * 4 GB/s), when the demand it was made for may be gone.
+ * 4 GB/s), when demand may have changed again.
  */
 import { alignSlots, layerStart, movesBetween } from "./expert-map.js";
 import { LayerSearch, type SearchStep } from "./layer-search.js";
@@ -24,64 +24,65 @@
 } from "./types.js";
 
 export interface PlannerLimits {
-  /** How long a new map is expected to be of use. */
+  /** Time over which a new map is expected to save step time. */
   readonly horizonSeconds: number;
   /**
-   * Longest transfer of one plan. With the agreement on the switch it fits one
-   * window of ten seconds: of 64 ranks hit by a wave, the worst layers are
-   * relieved first (skew 1.091; 1.106 with 20 s).
+   * Longest transfer of one plan. Together with the agreement on the switch it
+   * fits one window of ten seconds, so that after a wave the worst layers are
+   * relieved first (64 ranks: skew 1.091, against 1.106 with 20 s).
    */
   readonly transferSeconds: number;
-  /** Most changes of one layer in one plan; bounds the planner's time. */
+  /** Maximum changes per layer in one plan; bounds the planning time. */
   readonly stepsPerLayer: number;
-  /** A layer is left alone while its slowest rank is this close to even. */
+  /** A layer is balanced if its slowest rank exceeds the mean by less. */
   readonly toleratedExcess: number;
-  /** Experts that a plan must save at least this share of the step for. */
-  readonly leastSavedShare: number;
+  /** Smallest share of the step time that a plan must save. */
+  readonly minSavedShare: number;
 }
 
-export const DEFAULT_LIMITS: PlannerLimits = {
+export const DEFAULT_PLANNER_LIMITS: PlannerLimits = {
   horizonSeconds: 300,
   transferSeconds: 9,
   stepsPerLayer: 16,
   toleratedExcess: 0.015,
-  leastSavedShare: 0.002,
+  minSavedShare: 0.002,
 };
 
 /**
- * Decisions of which one may be wrong by noise alone. The slowest of all ranks
- * and layers is looked at in every decision, so the test must hold for the
- * largest of that many samples: sqrt(2 ln n) standard deviations.
+ * Expected number of decisions per false alarm by noise. Each decision tests
+ * the slowest of all ranks and layers, so the threshold must hold for the
+ * maximum of that many samples: sqrt(2 ln n) standard deviations.
  */
 const DECISIONS_PER_FALSE_ALARM = 100;
 
 /**
- * Standard deviations of the load estimate taken off a foretold gain: the
- * change that looks best is partly the luckiest. Without it the last third of
- * the moves bought nothing (12 ranks, drift: 1,063 moves for skew 1.0158, with
- * it 967 for 1.0162, and 41 switches in place of 64).
+ * Standard deviations of the load estimate subtracted from a predicted gain, to
+ * correct for selection bias: the change that looks best owes part of its gain
+ * to noise. Without it the last third of the moves gained nothing (12 ranks,
+ * drift: 1,063 moves and 64 switches for skew 1.0158; with it 967 and 41 for
+ * 1.0162).
  */
-const LUCK_DEVIATIONS = 2;
+const SELECTION_BIAS_DEVIATIONS = 2;
 
 /**
- * Price of a second of the weight store in seconds of steps at equal weights.
- * Other groups and starting VMs wait for the store meanwhile, but moving
- * slows no step, so it counts for less than the steps themselves. At 0.6 the
- * skew of 64 ranks was 1.051 in place of 1.043; at 0.15, 12 ranks moved a
- * quarter more for no less skew.
+ * Cost of one second of weight store time, in seconds of step time, when skew
+ * and cost weigh the same. It is below 1, as transfers make other groups and
+ * starting VMs wait for the store but slow no step. With 0.6 the skew of 64
+ * ranks rose from 1.043 to 1.051; with 0.15, 12 ranks made a quarter more moves
+ * without reducing skew.
  */
-const STORE_SECOND_PRICE = 0.3;
+const STORE_SECOND_WEIGHT = 0.3;
 
-/** Changes that relieve a layer one by one, all that the search found. */
+/** The sequence of changes that the search found for one layer. */
 interface LayerChanges {
   readonly layer: number;
   readonly before: number;
-  /** Gain that noise alone could show. */
+  /** Largest gain that noise alone could produce. */
   readonly noise: number;
   readonly steps: readonly SearchStep[];
 }
 
-/** Part of a layer's changes that is worth making. */
+/** Prefix of a layer's changes that is worth making. */
 interface LayerProposal {
   readonly layer: number;
   readonly steps: readonly SearchStep[];
@@ -90,10 +91,10 @@
   readonly value: number;
 }
 
-type LayerVerdict = LayerProposal | StayReason;
+type LayerResult = LayerProposal | StayReason;
 
-/** Working values of one run of the planner. */
-interface Run {
+/** Inputs and derived values of one planner run. */
+interface PlanningRun {
   readonly input: PlanInput;
   readonly limits: PlannerLimits;
   readonly slowest: number;
@@ -104,8 +105,8 @@
   readonly confidence: number;
 }
 
-/** Stay reasons from the most to the least telling, for the plan as a whole. */
-const REASONS: readonly StayReason[] = [
+/** Order in which layer reasons become the reason of the whole plan. */
+const STAY_REASON_PRIORITY: readonly StayReason[] = [
   "not-worth-cost",
   "no-better-map",
   "within-noise",
@@ -124,7 +125,7 @@
 
   static create(
     shape: GroupShape,
-    limits: PlannerLimits = DEFAULT_LIMITS,
+    limits: PlannerLimits = DEFAULT_PLANNER_LIMITS,
   ): Planner {
     return new Planner(shape, limits);
   }
@@ -132,30 +133,37 @@
   plan(input: PlanInput): Plan {
     const run = this.startRun(input);
     const found = this.searchLayers(run);
-    const plan = this.choose(run, found);
+    const plan = this.selectPlan(run, found);
     if (plan.kind === "move" || run.confidence === 1) return plan;
-    const heldBack = this.choose({ ...run, confidence: 1 }, found);
-    return heldBack.kind === "move" ? { ...plan, heldBack } : plan;
+    const fullConfidencePlan = this.selectPlan(
+      { ...run, confidence: 1 },
+      found,
+    );
+    return fullConfidencePlan.kind === "move"
+      ? { ...plan, fullConfidencePlan: fullConfidencePlan }
+      : plan;
   }
 
-  private choose(
-    run: Run,
+  private selectPlan(
+    run: PlanningRun,
     found: readonly (LayerChanges | StayReason)[],
   ): Plan {
-    const verdicts = found.map((changes) =>
+    const results = found.map((changes) =>
       typeof changes === "string" ? changes : bestPrefix(run, changes),
     );
-    const proposals = verdicts.filter((verdict) => typeof verdict === "object");
+    const proposals = results.filter((result) => typeof result === "object");
     if (proposals.length === 0) {
-      const reason = REASONS.find((known) => verdicts.includes(known));
+      const reason = STAY_REASON_PRIORITY.find((item) =>
+        results.includes(item),
+      );
       return this.stay(run, reason ?? "balanced");
     }
-    const chosen = this.withinBounds(run, proposals);
-    if (!worthSwitch(run, chosen)) return this.stay(run, "not-worth-cost");
+    const chosen = this.selectWithinBounds(run, proposals);
+    if (!isWorthSwitching(run, chosen)) return this.stay(run, "not-worth-cost");
     return this.move(run, chosen);
   }
 
-  private startRun(input: PlanInput): Run {
+  private startRun(input: PlanInput): PlanningRun {
     const { ranks, layers } = this.shape;
     const { speeds, requestTokens } = input.ranks;
     const times = rankTimes(input.map, input.load.tokens, input.ranks);
@@ -176,7 +184,9 @@
     };
   }
 
-  private searchLayers(run: Run): readonly (LayerChanges | StayReason)[] {
+  private searchLayers(
+    run: PlanningRun,
+  ): readonly (LayerChanges | StayReason)[] {
     const found: (LayerChanges | StayReason)[] = [];
     for (let layer = 0; layer < this.shape.layers; layer++) {
       found.push(this.searchLayer(run, layer));
@@ -184,7 +194,10 @@
     return found;
   }
 
-  private searchLayer(run: Run, layer: number): LayerChanges | StayReason {
+  private searchLayer(
+    run: PlanningRun,
+    layer: number,
+  ): LayerChanges | StayReason {
     const { search, limits } = this;
     const { load, ranks } = run.input;
     const tokens = layerValues(load.tokens, layer, this.shape.experts);
@@ -201,9 +214,9 @@
     return { layer, before, noise, steps };
   }
 
-  /** The best proposals for each fetch that fit transfer time and memory. */
-  private withinBounds(
-    run: Run,
+  /** Selects proposals by value per fetch within transfer time and memory. */
+  private selectWithinBounds(
+    run: PlanningRun,
     proposals: readonly LayerProposal[],
   ): readonly LayerProposal[] {
     const { stagingExpertsPerRank } = run.input.costs;
@@ -230,7 +243,7 @@
       .map((slot) => Math.floor(slot / this.shape.slotsPerRank));
   }
 
-  private move(run: Run, chosen: readonly LayerProposal[]): MovePlan {
+  private move(run: PlanningRun, chosen: readonly LayerProposal[]): MovePlan {
     const { map } = run.input;
     const slots = Int16Array.from(map.slots);
     for (const { layer, steps } of chosen) {
@@ -248,12 +261,16 @@
     return { kind: "move", map: next, moves, predicted };
   }
 
-  private stay(run: Run, reason: StayReason): Plan {
+  private stay(run: PlanningRun, reason: StayReason): Plan {
     const predicted = this.forecast(run, run.input.map, 0);
     return { kind: "stay", reason, predicted };
   }
 
-  private forecast(run: Run, next: ExpertMap, fetches: number): PlanForecast {
+  private forecast(
+    run: PlanningRun,
+    next: ExpertMap,
+    fetches: number,
+  ): PlanForecast {
     const { map, load, ranks, costs } = run.input;
     const timeOf = (candidate: ExpertMap) =>
       stepTime(
@@ -277,13 +294,13 @@
 }
 
 /**
- * The steps up to the one with the highest value: time saved over the horizon,
- * weighed against the seconds that the weight store is kept busy.
+ * Returns the prefix of steps with the highest value: time saved over the
+ * horizon, weighed against the transfer time at the weight store.
  */
 function bestPrefix(
-  run: Run,
+  run: PlanningRun,
   { layer, before, noise, steps }: LayerChanges,
-): LayerVerdict {
+): LayerResult {
   let best: LayerProposal | undefined;
   let beyondNoise = false;
   let fetches = 0;
@@ -292,16 +309,21 @@
     const gain = before - step.slowest;
     if (gain <= noise) continue;
     beyondNoise = true;
-    const sure = gain - (noise / run.noiseDeviations) * LUCK_DEVIATIONS;
-    const saved = (sure / run.slowest) * run.limits.horizonSeconds;
-    const value = valueOf(run, saved, fetches);
+    const correctedGain =
+      gain - (noise / run.noiseDeviations) * SELECTION_BIAS_DEVIATIONS;
+    const saved = (correctedGain / run.slowest) * run.limits.horizonSeconds;
+    const value = netValueOf(run, saved, fetches);
     if (value <= (best?.value ?? 0)) continue;
     best = { layer, steps: steps.slice(0, index + 1), fetches, saved, value };
   }
   return best ?? (beyondNoise ? "not-worth-cost" : "within-noise");
 }
 
-function valueOf(run: Run, savedSeconds: number, fetches: number): number {
+function netValueOf(
+  run: PlanningRun,
+  savedSeconds: number,
+  fetches: number,
+): number {
   const { confidence, storeSecondsPerFetch } = run;
   const saved = savedSeconds * confidence;
   return netValue(run.input.skewWeight, saved, fetches * storeSecondsPerFetch);
@@ -312,11 +334,14 @@
   savedSeconds: number,
   storeSeconds: number,
 ): number {
-  const cost = storeSeconds * STORE_SECOND_PRICE;
+  const cost = storeSeconds * STORE_SECOND_WEIGHT;
   return skewWeight * savedSeconds - (1 - skewWeight) * cost;
 }
 
-function worthSwitch(run: Run, chosen: readonly LayerProposal[]): boolean {
+function isWorthSwitching(
+  run: PlanningRun,
+  chosen: readonly LayerProposal[],
+): boolean {
   const fetches = chosen.reduce((total, { fetches }) => total + fetches, 0);
   const saved = chosen.reduce((total, { saved }) => total + saved, 0);
   const storeSeconds = fetches * run.storeSecondsPerFetch;
@@ -328,7 +353,9 @@
   );
 }
 
-/** The stall of the switch is paid once for all layers. */
+/**
+ * Whether the saving exceeds the cost, with one switch stall for all layers.
+ */
 export function isWorthwhile(
   { skewWeight, costs }: Pick<PlanInput, "skewWeight" | "costs">,
   limits: PlannerLimits,
@@ -336,8 +363,8 @@
   storeSeconds: number,
 ): boolean {
   const value = netValue(skewWeight, savedSeconds, storeSeconds);
-  const least = limits.leastSavedShare * limits.horizonSeconds;
-  return savedSeconds > least && value > skewWeight * costs.switchSeconds;
+  const minSaved = limits.minSavedShare * limits.horizonSeconds;
+  return savedSeconds > minSaved && value > skewWeight * costs.switchSeconds;
 }
 
 function byValuePerFetch(
--- a/src/balance/rank-reports.ts
+++ b/src/balance/rank-reports.ts
@@ -1,5 +1,5 @@
-/** Turns the reports of single ranks into tokens of experts and rank speeds. */
-import { FixedTime, type RankPoint } from "./fixed-time.js";
+/** Computes tokens per expert and rank speeds from the reports of the ranks. */
+import { FixedTime, type RankSample } from "./fixed-time.js";
 import { medianOf, sum } from "./numbers.js";
 import { countReplicas } from "./step-model.js";
 import { UNKNOWN_TOKENS } from "./load-forecast.js";
@@ -11,9 +11,9 @@
 } from "./types.js";
 
 /**
- * Tokens of each layer and expert in one window, from the reports that came.
- * An expert is estimated from those of its replicas that were reported, which
- * is fair as tokens are split evenly; with none of them it is UNKNOWN_TOKENS.
+ * Tokens per layer and expert in one window, from the reports received. An
+ * expert's total is extrapolated from its reported replicas, as tokens are
+ * split evenly over replicas; without any it is UNKNOWN_TOKENS.
  */
 export function collectTokens(
   map: ExpertMap,
@@ -21,16 +21,17 @@
 ): Float64Array {
   const { layers, experts } = map.shape;
   const tokens = new Float64Array(layers * experts);
-  const seen = new Int16Array(layers * experts);
-  for (const report of reports) addReport(map, report, tokens, seen);
+  const reportedReplicas = new Int16Array(layers * experts);
+  for (const report of reports)
+    addReport(map, report, tokens, reportedReplicas);
   for (let layer = 0; layer < layers; layer++) {
     const replicas = countReplicas(map, layer);
     for (let expert = 0; expert < experts; expert++) {
       const index = layer * experts + expert;
       tokens[index] =
-        seen[index] === 0
+        reportedReplicas[index] === 0
           ? UNKNOWN_TOKENS
-          : (tokens[index] * replicas[expert]) / seen[index];
+          : (tokens[index] * replicas[expert]) / reportedReplicas[index];
     }
   }
   return tokens;
@@ -40,7 +41,7 @@
   map: ExpertMap,
   report: RankReport,
   tokens: Float64Array,
-  seen: Int16Array,
+  reportedReplicas: Int16Array,
 ): void {
   const { ranks, layers, experts, slotsPerRank } = map.shape;
   for (let layer = 0; layer < layers; layer++) {
@@ -50,27 +51,28 @@
       if (expert === EMPTY_SLOT) continue;
       const index = layer * experts + expert;
       tokens[index] += report.tokens[layer * slotsPerRank + position];
-      seen[index]++;
+      reportedReplicas[index]++;
     }
   }
 }
 
 const SPEED_SMOOTHING = 0.3;
 /**
- * Speeds this close to the median count as equal: timers and clocks of healthy
- * accelerators differ by about so much, and moving experts for it never ends.
+ * Speeds this close to the median count as equal: timers and clock rates of
+ * healthy accelerators differ by about as much, and reacting to that would move
+ * experts endlessly.
  */
 const SPEED_TOLERANCE = 0.05;
-/** Of a rank that took hardly longer than the fixed part, noise is left. */
-const LEAST_TIME_SHARE = 0.05;
-const SLOWEST_SPEED = 0.05;
-const FASTEST_SPEED = 2;
+/** Minimum share of busy time attributed to tokens; less would be noise. */
+const MIN_TIME_SHARE = 0.05;
+const MIN_SPEED = 0.05;
+const MAX_SPEED = 2;
 
 /** Estimates each rank's speed from its reports; 1 is the median rank. */
 export class RankSpeeds {
   private readonly estimates: Float64Array;
   private readonly fixedTime = FixedTime.create();
-  private fixed = 0;
+  private fixedWork = 0;
 
   private constructor(shape: GroupShape) {
     this.estimates = new Float64Array(shape.ranks).fill(1);
@@ -80,22 +82,22 @@
     return new RankSpeeds(shape);
   }
 
-  /** Work of the median rank that takes as long as a step without tokens. */
+  /** Tokens that the median rank could process in the fixed part of a step. */
   get fixedTokens(): number {
-    return this.fixed;
+    return this.fixedWork;
   }
 
-  /** A rank that sent no report, or did no work, keeps its estimate. */
+  /** Updates the speeds; a rank without a report or work keeps its estimate. */
   observe(reports: readonly RankReport[]): void {
     const measured = reports.filter((report) => report.busySeconds > 0);
-    const points = measured.map(pointOf);
-    this.fixedTime.observe(points);
-    const median = medianOf(points.map(({ seconds }) => seconds));
-    const fixedSeconds = this.fixedTime.secondsOf(median);
-    const rates = points.map((point) => rateOf(point, fixedSeconds));
+    const samples = measured.map(sampleOf);
+    this.fixedTime.observe(samples);
+    const median = medianOf(samples.map(({ seconds }) => seconds));
+    const fixedSeconds = this.fixedTime.fixedSecondsOf(median);
+    const rates = samples.map((sample) => tokenRate(sample, fixedSeconds));
     const medianRate = medianOf(rates);
     if (medianRate === 0) return;
-    this.fixed = fixedSeconds * medianRate;
+    this.fixedWork = fixedSeconds * medianRate;
     measured.forEach(({ rank }, index) => {
       const speed = clampSpeed(rates[index] / medianRate);
       const old = this.estimates[rank];
@@ -103,7 +105,7 @@
     });
   }
 
-  /** Speeds for the step model, small differences evened out. */
+  /** Speeds for the step model, with small differences rounded to 1. */
   current(): Float64Array {
     return this.estimates.map((speed) =>
       Math.abs(speed - 1) < SPEED_TOLERANCE ? 1 : speed,
@@ -111,16 +113,19 @@
   }
 }
 
-function pointOf(report: RankReport): RankPoint {
+function sampleOf(report: RankReport): RankSample {
   const tokens = sum(report.tokens) + report.requestTokens;
   return { tokens, seconds: report.busySeconds };
 }
 
-/** Tokens a second beside the fixed part, which no time falls short of. */
-function rateOf({ tokens, seconds }: RankPoint, fixedSeconds: number): number {
-  return tokens / Math.max(seconds - fixedSeconds, LEAST_TIME_SHARE * seconds);
+/** Tokens per second of busy time, not counting the fixed part. */
+function tokenRate(
+  { tokens, seconds }: RankSample,
+  fixedSeconds: number,
+): number {
+  return tokens / Math.max(seconds - fixedSeconds, MIN_TIME_SHARE * seconds);
 }
 
 function clampSpeed(speed: number): number {
-  return Math.min(Math.max(speed, SLOWEST_SPEED), FASTEST_SPEED);
+  return Math.min(Math.max(speed, MIN_SPEED), MAX_SPEED);
 }
--- a/src/balance/refine.ts
+++ b/src/balance/refine.ts
@@ -1,10 +1,10 @@
-/** Fits a map to known loads without regard to cost. */
+/** Improves a map for a known load by local search, ignoring transfer cost. */
 import { alignSlots, layerStart } from "./expert-map.js";
 import { LayerSearch } from "./layer-search.js";
 import { layerSlots, layerValues } from "./layers.js";
 import type { ExpertMap, RankState } from "./types.js";
 
-/** The map after up to `stepsPerLayer` steps of local search in each layer. */
+/** Returns the map after up to `stepsPerLayer` search steps in each layer. */
 export function refineMap(
   map: ExpertMap,
   tokens: Float64Array,
--- a/src/balance/repack.ts
+++ b/src/balance/repack.ts
@@ -1,7 +1,7 @@
 /**
- * Full repack, the baseline published for expert-parallel balancing (EPLB,
- * DeepSeek 2025): replicas go greedily to the expert with the highest load per
- * replica, then the replicas, heaviest first, into the least loaded rank.
+ * Full repack, the published baseline for expert-parallel balancing (EPLB,
+ * DeepSeek 2025): adds replicas greedily to the expert with the highest load
+ * per replica, then places replicas, heaviest first, on the least loaded rank.
  */
 import { alignSlots, slotCount } from "./expert-map.js";
 import {
@@ -11,7 +11,7 @@
   type RankState,
 } from "./types.js";
 
-/** A new map for the given tokens; the old one only saves needless fetches. */
+/** Computes a new map for the load; the old one only serves to save fetches. */
 export function repack(
   map: ExpertMap,
   tokens: ArrayLike<number>,
@@ -32,7 +32,7 @@
   return { version: map.version + 1, shape, slots };
 }
 
-/** Replicas of each expert when every slot of the layer is used. */
+/** Number of replicas per expert when every slot of the layer is used. */
 export function chooseReplicas(
   shape: GroupShape,
   layerTokens: Float64Array,
@@ -80,7 +80,7 @@
   for (const expert of heaviestFirst(layerTokens, replicas)) {
     const share = layerTokens[expert] / replicas[expert];
     const rank = leastLoaded(shape, slots, used, work, state, expert, share);
-    // Every rank with room holds the expert already: the replica is left out.
+    // Every rank with a free slot already holds the expert: skip the replica.
     if (rank < 0) continue;
     slots[rank * slotsPerRank + used[rank]] = expert;
     used[rank]++;
--- a/src/balance/request-shares.ts
+++ b/src/balance/request-shares.ts
@@ -1,16 +1,16 @@
 /**
- * Where new requests of a group should go so that expert work and request
- * work level out together: placement within the group and the planner see the
- * same load. The request work is poured onto the ranks whose expert work
- * leaves them the most time, until all take equally long.
+ * Distributes request work over the ranks of a group so that request work and
+ * expert work together are balanced, and placement within the group and the
+ * planner use the same load. Water-filling: the ranks with the least expert
+ * time are filled first, up to a common time.
  */
 export interface RankWork {
-  /** Expert work of each rank a window, in tokens. */
+  /** Expert work of each rank per window, in tokens. */
   readonly expertTokens: ArrayLike<number>;
   readonly speeds: ArrayLike<number>;
 }
 
-/** Request work of each rank, of `total` in all, in tokens of expert work. */
+/** Splits `total` request work over the ranks, in tokens of expert work. */
 export function levelRequests(work: RankWork, total: number): Float64Array {
   const { expertTokens, speeds } = work;
   const order = Array.from({ length: speeds.length }, (_, rank) => rank).sort(
@@ -22,7 +22,7 @@
   );
 }
 
-/** Time at which the ranks below it have taken all of the request work. */
+/** Common time up to which ranks are filled to place all request work. */
 function findLevel(
   { expertTokens, speeds }: RankWork,
   order: readonly number[],
@@ -39,7 +39,7 @@
   return speed > 0 ? tokens / speed : 0;
 }
 
-/** Work of each rank over all layers, from its times of `rankTimes`. */
+/** Work of each rank over all layers, from the times of `rankTimes`. */
 export function expertWork(
   times: Float64Array,
   speeds: ArrayLike<number>,
--- a/src/balance/smoothing.ts
+++ b/src/balance/smoothing.ts
@@ -1,36 +1,36 @@
-/** Exponential means, their trend, and how surely a blend of them is known. */
+/** Exponential means, their trend, and the variance of a blend of them. */
 
 /**
- * Smoothing of the two means, for windows of about 10 s: the fast one follows
- * a wave in about 3 windows, the slow one averages over 25, which is longer
- * than the swings that a map can't follow (transfer and switch take about 3).
+ * Smoothing factors for windows of about 10 s: the fast mean follows a wave in
+ * about 3 windows; the slow mean averages over 25, longer than oscillations
+ * that a map can't follow (transfer and switch take about 3 windows).
  */
-export const FAST = 0.3;
-export const SLOW = 0.04;
-/** How far an exponential mean lags behind a steady slope, in windows. */
-const FAST_LAG = (1 - FAST) / FAST;
-const SLOW_LAG = (1 - SLOW) / SLOW;
-/** The trend may at most halve or double the fast mean. */
+export const FAST_SMOOTHING = 0.3;
+export const SLOW_SMOOTHING = 0.04;
+/** Lag of an exponential mean behind a steady slope, in windows. */
+const FAST_LAG_WINDOWS = (1 - FAST_SMOOTHING) / FAST_SMOOTHING;
+const SLOW_LAG_WINDOWS = (1 - SLOW_SMOOTHING) / SLOW_SMOOTHING;
+/** The trend can at most halve or double the fast mean. */
 const TREND_LIMIT = 2;
 
-/** Until enough windows are seen, a mean weighs all of them alike. */
+/** Weight of the next value; early values are all weighted equally. */
 export function gainAt(age: number, smoothing: number): number {
   return Math.max(smoothing, 1 / (age + 1));
 }
 
-/** The fast mean carried on along its slope, which the slow mean tells. */
-export function trendOf(
+/** Extrapolates the fast mean by the slope derived from both means. */
+export function extrapolateTrend(
   fast: number,
   slow: number,
   leadWindows: number,
 ): number {
-  const slope = (fast - slow) / (SLOW_LAG - FAST_LAG);
-  const value = fast + slope * (FAST_LAG + leadWindows);
+  const slope = (fast - slow) / (SLOW_LAG_WINDOWS - FAST_LAG_WINDOWS);
+  const value = fast + slope * (FAST_LAG_WINDOWS + leadWindows);
   return Math.min(Math.max(value, fast / TREND_LIMIT), fast * TREND_LIMIT);
 }
 
-/** The fast mean, the slow mean and the trend by their weights. */
-export function blendOf(
+/** Weighted sum of the fast mean, the slow mean and the trend. */
+export function blendForecasts(
   fast: number,
   slow: number,
   weights: readonly number[],
@@ -39,25 +39,26 @@
   return (
     weights[0] * fast +
     weights[1] * slow +
-    weights[2] * trendOf(fast, slow, leadWindows)
+    weights[2] * extrapolateTrend(fast, slow, leadWindows)
   );
 }
 
 /**
- * Variance of the blend over that of one window: the standard deviations are
- * added, which is exact for fully correlated forecasts and an upper limit
- * otherwise. Early on a mean has seen few windows.
+ * Variance of the blend relative to that of one window. Standard deviations are
+ * added, which is exact for fully correlated forecasts and an upper bound
+ * otherwise. A mean of few windows has at least the variance 1 / age.
  */
 export function blendVariance(
   age: number,
   weights: readonly number[],
   leadWindows: number,
 ): number {
-  const fewest = 1 / Math.max(age, 1);
-  const fast = Math.max(FAST / (2 - FAST), fewest);
-  const slow = Math.max(SLOW / (2 - SLOW), fewest);
-  const reach = (FAST_LAG + leadWindows) / (SLOW_LAG - FAST_LAG);
-  const trend = (1 + reach) ** 2 * fast + reach ** 2 * slow;
+  const ageVariance = 1 / Math.max(age, 1);
+  const fast = Math.max(FAST_SMOOTHING / (2 - FAST_SMOOTHING), ageVariance);
+  const slow = Math.max(SLOW_SMOOTHING / (2 - SLOW_SMOOTHING), ageVariance);
+  const extrapolation =
+    (FAST_LAG_WINDOWS + leadWindows) / (SLOW_LAG_WINDOWS - FAST_LAG_WINDOWS);
+  const trend = (1 + extrapolation) ** 2 * fast + extrapolation ** 2 * slow;
   const deviation =
     weights[0] * Math.sqrt(fast) +
     weights[1] * Math.sqrt(slow) +
--- a/src/balance/step-model.ts
+++ b/src/balance/step-model.ts
@@ -1,9 +1,9 @@
 /**
- * The time of a step. Ranks exchange tokens in every layer, so a layer takes
- * as long as its slowest rank and a step the sum over its layers. A rank's
- * work in a layer is the tokens of its expert slots (an expert's tokens are
- * split evenly over its replicas: engines choose a replica by hash) plus the
- * layer's share of the requests placed on it; its time is work over speed.
+ * Models the time of a step. Ranks exchange tokens in every layer, so a layer
+ * takes as long as its slowest rank, and a step takes the sum over its layers.
+ * A rank's work in a layer is the tokens of its expert slots (engines choose a
+ * replica by hash, so an expert's tokens split evenly over its replicas) plus
+ * the layer's share of its requests; its time is work divided by speed.
  */
 import { layerStart } from "./expert-map.js";
 import { sum } from "./numbers.js";
@@ -17,11 +17,11 @@
 export interface StepTime {
   /** Sum over layers of the slowest rank's time. */
   readonly slowest: number;
-  /** Sum over layers of the time if work were spread perfectly. */
+  /** Sum over layers of the time with work spread perfectly. */
   readonly ideal: number;
   /** Sum over layers of the mean rank time. */
   readonly mean: number;
-  /** Slowest rank's time when ranks only meet at the end of the step. */
+  /** Slowest rank's time if ranks synchronize only at the end of the step. */
   readonly slowestWholeStep: number;
 }
 
@@ -60,7 +60,7 @@
   }
 }
 
-/** Slots of each expert in one layer. */
+/** Number of slots of each expert in one layer. */
 export function countReplicas(map: ExpertMap, layer: number): Int16Array {
   const { ranks, experts, slotsPerRank } = map.shape;
   const replicas = new Int16Array(experts);
@@ -102,7 +102,7 @@
   };
 }
 
-/** Slowest over ideal; equals max over mean when all ranks are equally fast. */
+/** Slowest over ideal time; max over mean if all ranks are equally fast. */
 export function skewOf(time: StepTime): number {
   return time.ideal > 0 ? time.slowest / time.ideal : 1;
 }
--- a/src/balance/types.ts
+++ b/src/balance/types.ts
@@ -1,4 +1,4 @@
-/** Types of expert balancing: maps, moves, loads, costs and plans. */
+/** Types for expert balancing: maps, moves, loads, costs and plans. */
 
 export interface GroupShape {
   readonly ranks: number;
@@ -21,18 +21,18 @@
   readonly slots: ArrayLike<number>;
 }
 
-/** One expert's weights fetched into one slot. */
+/** Fetch of one expert's weights into one slot. */
 export interface ExpertMove {
   readonly layer: number;
   readonly rank: number;
   readonly slot: number;
-  /** Expert that the slot holds afterwards. */
+  /** Expert that the slot holds after the move. */
   readonly expert: number;
-  /** Expert that the slot held before, or EMPTY_SLOT. */
+  /** Expert that the slot held before the move, or EMPTY_SLOT. */
   readonly previous: number;
 }
 
-/** What one rank reports of one window of steps. */
+/** Report of one rank on one window of steps. */
 export interface RankReport {
   readonly rank: number;
   readonly window: number;
@@ -40,33 +40,33 @@
   readonly mapVersion: number;
   /** Tokens of each slot: layer * slotsPerRank + position. */
   readonly tokens: ArrayLike<number>;
-  /** Time spent computing, without the wait for other ranks, in seconds. */
+  /** Compute time in seconds, without waiting for other ranks. */
   readonly busySeconds: number;
-  /** Work of the rank's own requests, in tokens of expert work. */
+  /** Work for the rank's own requests, in tokens of expert work. */
   readonly requestTokens: number;
 }
 
-/** Expected tokens a window of each layer and expert (layer * experts + e). */
+/** Expected tokens per window, layer and expert (layer * experts + expert). */
 export interface LoadPrediction {
   readonly tokens: Float64Array;
   /** Variance of the estimates above, in tokens squared. */
   readonly variance: Float64Array;
 }
 
-/** What the step model needs to know of the ranks. */
+/** Rank parameters of the step model. */
 export interface RankState {
   /** Speed of each rank; 1 is the group's median. */
   readonly speeds: ArrayLike<number>;
-  /** Work of requests on each rank a window, in tokens of expert work. */
+  /** Request work of each rank per window, in tokens of expert work. */
   readonly requestTokens: ArrayLike<number>;
 }
 
 export interface MoveCosts {
   readonly bytesPerExpert: number;
   readonly storeBytesPerSecond: number;
-  /** Stall of the group caused by one switch of maps. */
+  /** Time one map switch stalls the group. */
   readonly switchSeconds: number;
-  /** Experts that a rank has memory for beside its slots, over all layers. */
+  /** Experts a rank has spare memory for besides its slots, over all layers. */
   readonly stagingExpertsPerRank: number;
 }
 
@@ -75,36 +75,36 @@
   readonly load: LoadPrediction;
   readonly ranks: RankState;
   readonly costs: MoveCosts;
-  /** 1 weighs skew only, 0 cost only. */
+  /** Weight of skew against cost: 1 counts only skew, 0 only cost. */
   readonly skewWeight: number;
-  /** Share of foretold savings that came true of late, 0 to 1. */
+  /** Share of predicted savings that were recently realized, 0 to 1. */
   readonly confidence: number;
 }
 
-/** Forecast of what a plan does. */
+/** Predicted effect of a plan. */
 export interface PlanForecast {
-  /** Step time over the time of perfectly spread work. */
+  /** Step time relative to that of perfectly spread work. */
   readonly skewBefore: number;
   readonly skewAfter: number;
   readonly bytes: number;
-  /** From the decision to the switch. */
+  /** Time from the decision to the switch. */
   readonly transferSeconds: number;
-  /** Over the planner's horizon, the stall of the switch taken off. */
+  /** Time saved over the planner's horizon, less the switch stall. */
   readonly savedSeconds: number;
 }
 
 export type StayReason =
-  /** No report has come in yet. */
+  /** Too few windows of reports have been observed. */
   | "no-reports"
   /** The last plan's map isn't in force yet. */
   | "switch-pending"
-  /** No layer is far enough from even. */
+  /** Every layer is within the tolerated imbalance. */
   | "balanced"
-  /** What a move would gain could be sampling noise. */
+  /** The gain of a move could be sampling noise. */
   | "within-noise"
-  /** No move of experts shortens the step. */
+  /** No expert move shortens the step. */
   | "no-better-map"
-  /** The time saved doesn't cover the cost of moving. */
+  /** The saved time doesn't cover the cost of moving. */
   | "not-worth-cost";
 
 export interface MovePlan {
@@ -120,6 +120,6 @@
       readonly kind: "stay";
       readonly reason: StayReason;
       readonly predicted: PlanForecast;
-      /** The plan that full confidence would have carried out. */
-      readonly heldBack?: MovePlan;
+      /** Plan that would have been executed at full confidence. */
+      readonly fullConfidencePlan?: MovePlan;
     };
--- a/src/balance/window-assembly.ts
+++ b/src/balance/window-assembly.ts
@@ -1,11 +1,11 @@
 /**
- * Brings the reports of all ranks of a group together, window by window. A
- * rank that is late or silent holds nobody up: its window goes on without it.
+ * Groups the reports of all ranks of a group by window. A late or silent rank
+ * doesn't delay the others: the window is completed without its report.
  */
 import type { RankReport } from "./types.js";
 
-/** More windows at once are of a rank that runs far ahead of the others. */
-const MOST_OPEN_WINDOWS = 8;
+/** More open windows mean that a rank runs far ahead of the others. */
+const MAX_OPEN_WINDOWS = 8;
 
 export class WindowAssembly {
   private readonly open = new Map<number, Map<number, RankReport>>();
@@ -17,23 +17,23 @@
     return new WindowAssembly(ranks);
   }
 
-  /** Returns the windows that the report completes, oldest first. */
+  /** Adds a report; returns the windows it completes, oldest first. */
   add(report: RankReport): readonly (readonly RankReport[])[] {
     const { window, rank } = report;
     if (window <= this.lastWindow) return [];
     const reports = this.open.get(window) ?? new Map<number, RankReport>();
     reports.set(rank, report);
     this.open.set(window, reports);
-    return this.takeReady();
+    return this.removeReady();
   }
 
-  /** The group formed anew and counts its windows from the start. */
+  /** Clears all state after the group formed again and restarted numbering. */
   reset(): void {
     this.open.clear();
     this.lastWindow = -1;
   }
 
-  private takeReady(): (readonly RankReport[])[] {
+  private removeReady(): (readonly RankReport[])[] {
     const windows = [...this.open.keys()].sort((a, b) => a - b);
     const ready = windows.filter((window) => this.isReady(window));
     const last = ready.at(-1);
@@ -41,22 +41,22 @@
     this.lastWindow = last;
     return windows
       .filter((window) => window <= last)
-      .map((window) => this.take(window));
+      .map((window) => this.removeWindow(window));
   }
 
   /**
    * Ready when all ranks have reported, or half of them are a window ahead:
-   * what is missing then was lost, and waiting for it would let the planner
-   * go blind for as long as one rank is silent.
+   * missing reports are then lost, and waiting for them would leave the planner
+   * without data for as long as one rank is silent.
    */
   private isReady(window: number): boolean {
     const count = (of: number): number => this.open.get(of)?.size ?? 0;
     if (count(window) >= this.ranks) return true;
     if (2 * count(window + 1) >= this.ranks) return true;
-    return this.open.size > MOST_OPEN_WINDOWS;
+    return this.open.size > MAX_OPEN_WINDOWS;
   }
 
-  private take(window: number): readonly RankReport[] {
+  private removeWindow(window: number): readonly RankReport[] {
     const reports = this.open.get(window);
     this.open.delete(window);
     return [...(reports?.values() ?? [])];
--- a/src/balance/window-collector.ts
+++ b/src/balance/window-collector.ts
@@ -1,7 +1,7 @@
 /**
- * Turns the step reports of one agent's ranks into one report a window. A
- * window is a range of step numbers, so that the windows of all ranks are the
- * same although no clock is shared.
+ * Aggregates the step reports of one agent's ranks into one report per window.
+ * A window is a range of step numbers, so that all ranks use the same windows
+ * without a shared clock.
  */
 import {
   EMPTY_SLOT,
@@ -10,13 +10,13 @@
   type RankReport,
 } from "./types.js";
 
-/** What one rank did in one step. */
+/** Report of one rank on one step. */
 export interface RankStep {
   readonly rank: number;
   readonly step: number;
   /** Version of the map that the step ran on. */
   readonly version: number;
-  /** Time spent computing, without the wait for other ranks. */
+  /** Compute time, without waiting for other ranks. */
   readonly durationMs: number;
   /** Tokens of each expert of each layer. */
   readonly counts: readonly (readonly number[])[];
@@ -24,27 +24,27 @@
 
 export interface WindowSettings {
   readonly windowSteps: number;
-  /** Reports that come so many steps after the window's end are missed. */
+  /** Steps after the end of a window during which late reports still count. */
   readonly lateSteps: number;
-  /** With a smaller share of its steps known, a window tells nothing. */
-  readonly leastShare: number;
+  /** Smallest share of its steps that must be known to report a window. */
+  readonly minStepShare: number;
 }
 
 /**
- * 2,000 steps of five milliseconds are the ten seconds that the planner's
- * constants are made for. Reports come up to half a second late.
+ * 2,000 steps of 5 ms make windows of ten seconds, which the planner's
+ * constants assume. Reports arrive up to half a second late (100 steps).
  */
 export const DEFAULT_WINDOWS: WindowSettings = {
   windowSteps: 2000,
   lateSteps: 100,
-  leastShare: 0.25,
+  minStepShare: 0.25,
 };
 
 interface OpenWindow {
   readonly window: number;
   readonly map: ExpertMap;
   readonly tokens: Float64Array;
-  /** Reports are asked for again after a lost answer: each counts once. */
+  /** Steps counted so far: reports repeated after a lost answer count once. */
   readonly steps: Set<number>;
   busySeconds: number;
   requestTokens: number;
@@ -52,8 +52,8 @@
 
 export class WindowCollector {
   private readonly open = new Map<number, OpenWindow[]>();
-  /** Last window given out, by rank: it must not come twice. */
-  private readonly closed = new Map<number, number>();
+  /** Last window returned per rank, so that none is returned twice. */
+  private readonly lastClosedWindow = new Map<number, number>();
 
   private constructor(private readonly settings: WindowSettings) {}
 
@@ -62,35 +62,35 @@
   }
 
   /**
-   * Takes in a step; returns the windows of its rank that it brings to an end.
-   * `map` is the map in force, `requestTokens` the work of the rank's own
-   * requests since the step before.
+   * Adds a step; returns the windows of its rank that it completes. `map` is
+   * the map in force, `requestTokens` the work of the rank's own requests since
+   * the previous step.
    */
   add(
     step: RankStep,
     map: ExpertMap,
     requestTokens: number,
   ): readonly RankReport[] {
-    // Counts under another map would be put down to the wrong slots.
+    // Counts under another map would be assigned to the wrong slots.
     if (step.version !== map.version) return [];
     const window = Math.floor(step.step / this.settings.windowSteps);
-    if (window <= (this.closed.get(step.rank) ?? -1)) return [];
+    if (window <= (this.lastClosedWindow.get(step.rank) ?? -1)) return [];
     this.addTo(this.windowOf(step.rank, window, map), step, requestTokens);
-    return this.closeBefore(step);
+    return this.closeFinished(step);
   }
 
-  /** The group formed anew and counts its steps from the start. */
+  /** Clears all state after the group formed again and restarted numbering. */
   reset(): void {
     this.open.clear();
-    this.closed.clear();
+    this.lastClosedWindow.clear();
   }
 
   private windowOf(rank: number, window: number, map: ExpertMap): OpenWindow {
     const windows = this.open.get(rank) ?? [];
-    const known = windows.find(
+    const existing = windows.find(
       (item) => item.window === window && item.map.version === map.version,
     );
-    if (known !== undefined) return known;
+    if (existing !== undefined) return existing;
     const { layers, slotsPerRank } = map.shape;
     const created: OpenWindow = {
       window,
@@ -100,7 +100,7 @@
       busySeconds: 0,
       requestTokens: 0,
     };
-    // A switch within a window begins it anew under the new map.
+    // A map switch within a window restarts it under the new map.
     const others = windows.filter((item) => item.window !== window);
     this.open.set(rank, [...others, created]);
     return created;
@@ -118,25 +118,25 @@
     open.requestTokens += requestTokens;
   }
 
-  private closeBefore({ rank, step }: RankStep): readonly RankReport[] {
+  private closeFinished({ rank, step }: RankStep): readonly RankReport[] {
     const { windowSteps, lateSteps } = this.settings;
     const windows = this.open.get(rank) ?? [];
-    const isOver = ({ window }: OpenWindow): boolean =>
+    const isFinished = ({ window }: OpenWindow): boolean =>
       step >= (window + 1) * windowSteps + lateSteps;
-    const over = windows.filter(isOver);
-    if (over.length === 0) return [];
+    const finished = windows.filter(isFinished);
+    if (finished.length === 0) return [];
     this.open.set(
       rank,
-      windows.filter((item) => !isOver(item)),
+      windows.filter((item) => !isFinished(item)),
     );
-    const last = Math.max(...over.map(({ window }) => window));
-    this.closed.set(rank, last);
-    return over.flatMap((item) => this.reportOf(rank, item));
+    const last = Math.max(...finished.map(({ window }) => window));
+    this.lastClosedWindow.set(rank, last);
+    return finished.flatMap((item) => this.reportOf(rank, item));
   }
 
-  /** Steps whose reports were lost count like those that came. */
+  /** Scales the sums up to account for steps whose reports were lost. */
   private reportOf(rank: number, open: OpenWindow): RankReport[] {
-    const { windowSteps, leastShare } = this.settings;
+    const { windowSteps, minStepShare: leastShare } = this.settings;
     if (open.steps.size < windowSteps * leastShare) return [];
     const scale = windowSteps / open.steps.size;
     return [
@@ -165,14 +165,14 @@
     for (let position = 0; position < slotsPerRank; position += 1) {
       const expert = map.slots[start + position];
       if (expert === EMPTY_SLOT) continue;
-      const copies = copiesOf(map, start, shape, expert);
+      const copies = countSlotsOf(map, start, shape, expert);
       tokens[layer * slotsPerRank + position] += (row[expert] ?? 0) / copies;
     }
   }
 }
 
-/** An expert may stand in several slots of one rank, which share its tokens. */
-function copiesOf(
+/** Several slots of one rank may hold an expert; they share its tokens. */
+function countSlotsOf(
   map: ExpertMap,
   start: number,
   { slotsPerRank }: GroupShape,
--- a/tests/balance/demand.test.ts
+++ b/tests/balance/demand.test.ts
@@ -37,95 +37,104 @@
   return runPolicy(SHAPE, traceOf(trace), create(settings), COSTS);
 }
 
-/** Aims of the project: 3% over the bound, half the bytes of a full repack. */
-function assertAims(trace: string): void {
-  const ours = run(trace, "incremental");
+/** Targets: skew within 3% of the lower bound, half the bytes of a repack. */
+function assertTargets(trace: string): void {
+  const incremental = run(trace, "incremental");
   const repacked = run(trace, "repack");
   const bound = lowerBoundOf(SHAPE, traceOf(trace));
-  assert.ok(ours.skewMean <= 1.03 * bound, `skew ${ours.skewMean}`);
-  assert.ok(ours.skewMean <= repacked.skewMean);
-  assert.ok(ours.bytes <= repacked.bytes / 2);
+  assert.ok(
+    incremental.skewMean <= 1.03 * bound,
+    `skew ${incremental.skewMean}`,
+  );
+  assert.ok(incremental.skewMean <= repacked.skewMean);
+  assert.ok(incremental.bytes <= repacked.bytes / 2);
 }
 
-describe("expert balance under demand that", () => {
-  it("stands still on a fitting map moves nothing, whatever the noise", () => {
+describe("expert balancing under demand that", () => {
+  it("is steady on a fitting map makes no moves at either skew weight", () => {
     assert.is(run("noise", "incremental").moves, 0);
     assert.is(run("noise", "incremental", 1).moves, 0);
   });
 
-  it("only looks different for noise ten times as loud moves nothing", () => {
-    // Few tokens a window make counts jump by several percent. A mean that
-    // started from one window, or a noise estimate that started too low, let
-    // the first decisions chase it: a thousand moves that served nothing.
+  it("differs only by ten times the noise makes no moves", () => {
+    // With few tokens per window, counts vary by several percent. A mean
+    // started from one window, or a noise estimate that starts too low, makes
+    // the first decisions follow the noise: a thousand moves without benefit.
     assert.is(run("loud-noise", "incremental").moves, 0);
     assert.is(run("loud-noise", "incremental", 1).moves, 0);
   });
 
-  it("stands still on a map that ignores it is levelled once and for all", () => {
-    const ours = run("steady", "incremental");
-    assert.ok(ours.skewSettled <= 1.03, `skew ${ours.skewSettled}`);
-    assert.ok(ours.moves < createEvenMap(SHAPE).slots.length / 2);
+  it("is steady on a map that ignores it is balanced once", () => {
+    const incremental = run("steady", "incremental");
+    assert.ok(
+      incremental.skewSettled <= 1.03,
+      `skew ${incremental.skewSettled}`,
+    );
+    assert.ok(incremental.moves < createEvenMap(SHAPE).slots.length / 2);
   });
 
-  it("drifts with the season is followed within the aims", () => {
-    assertAims("drift");
+  it("drifts seasonally is followed within the targets", () => {
+    assertTargets("drift");
   });
 
-  it("has a heavy tail is followed within the aims", () => {
-    assertAims("heavy-tail");
+  it("has a heavy tail is followed within the targets", () => {
+    assertTargets("heavy-tail");
   });
 
-  it("comes as a sudden wave is levelled again sooner than by a repack", () => {
-    const ours = run("wave", "incremental");
+  it("rises in a sudden wave is balanced sooner than by a repack", () => {
+    const incremental = run("wave", "incremental");
     const repacked = run("wave", "repack");
-    assert.ok(ours.skewMean < repacked.skewMean);
-    assert.ok(ours.bytes <= repacked.bytes / 2);
+    assert.ok(incremental.skewMean < repacked.skewMean);
+    assert.ok(incremental.bytes <= repacked.bytes / 2);
   });
 
-  it("swings faster than maps can follow costs less than a repack", () => {
-    // Demand turns round each minute, and a map takes effect up to half a
-    // minute after the reports. Each plan looks good when it is made and is
-    // out of step when it is in force, so bytes are spent without end.
-    const ours = run("oscillation", "incremental");
+  it("oscillates faster than maps can follow costs less than a repack", () => {
+    // Demand reverses each minute, and a map takes effect up to half a minute
+    // after the reports. Each plan looks good when made but is outdated once in
+    // force, so that a planner without history keeps transferring bytes.
+    const incremental = run("oscillation", "incremental");
     const repacked = run("oscillation", "repack");
-    assert.ok(ours.skewMean <= repacked.skewMean);
-    assert.ok(ours.skewMean <= run("oscillation", "static").skewMean);
-    assert.ok(ours.bytes <= repacked.bytes / 2);
+    assert.ok(incremental.skewMean <= repacked.skewMean);
+    assert.ok(incremental.skewMean <= run("oscillation", "static").skewMean);
+    assert.ok(incremental.bytes <= repacked.bytes / 2);
   });
 
-  it("makes one expert hot for a while gets it replicated", () => {
-    const ours = run("flash", "incremental");
-    assert.ok(ours.skewMean < run("flash", "static").skewMean);
-    assert.ok(ours.skewMean < run("flash", "repack").skewMean);
+  it("makes one expert hot temporarily gets it replicated", () => {
+    const incremental = run("flash", "incremental");
+    assert.ok(incremental.skewMean < run("flash", "static").skewMean);
+    assert.ok(incremental.skewMean < run("flash", "repack").skewMean);
   });
 });
 
-describe("expert balance of a group in which", () => {
-  it("one rank turns slow gives it less work", () => {
+describe("expert balancing of a group in which", () => {
+  it("one rank slows down gives it less work", () => {
     // Steps take 1.6 times as long after a rank drops to 0.6 of its speed.
-    // Tokens are as even as before: only the ranks' busy time tells. A map
-    // made from counts alone keeps the whole group at the slow rank's pace.
-    const ours = run("slow-rank", "incremental");
-    assert.ok(ours.skewSettled <= 1.05, `skew ${ours.skewSettled}`);
+    // Tokens stay even, so only the busy time shows it. A map made from token
+    // counts alone keeps the whole group at the slow rank's speed.
+    const incremental = run("slow-rank", "incremental");
+    assert.ok(
+      incremental.skewSettled <= 1.05,
+      `skew ${incremental.skewSettled}`,
+    );
     assert.ok(run("slow-rank", "repack").skewSettled > 1.5);
   });
 
-  it("reports go missing keeps to the aims", () => {
-    // One rank's reports are lost for a third of the run, and one in twenty
-    // of the others. Read as "no tokens", they would empty that rank's
-    // experts on paper and fill it up with work until it holds back the rest.
-    const ours = run("missing-report", "incremental");
-    assert.ok(ours.skewMean <= 1.04, `skew ${ours.skewMean}`);
-    assert.ok(ours.bytes <= run("missing-report", "repack").bytes / 2);
+  it("reports are lost keeps skew low", () => {
+    // One rank's reports are lost for a third of the run, and one in twenty of
+    // the others. Counted as zero tokens, they would make the rank look idle,
+    // and the planner would give it work until it slows the whole group.
+    const incremental = run("missing-report", "incremental");
+    assert.ok(incremental.skewMean <= 1.04, `skew ${incremental.skewMean}`);
+    assert.ok(incremental.bytes <= run("missing-report", "repack").bytes / 2);
   });
 
   it("some ranks serve more requests gives them fewer tokens", () => {
-    const ours = run("uneven-requests", "incremental");
-    assert.ok(ours.skewMean <= 1.03, `skew ${ours.skewMean}`);
+    const incremental = run("uneven-requests", "incremental");
+    assert.ok(incremental.skewMean <= 1.03, `skew ${incremental.skewMean}`);
     assert.ok(run("uneven-requests", "repack").skewMean > 1.08);
   });
 
-  it("requests shift is served best if placement sees the expert load", () => {
+  it("requests shift is balanced best if placement uses the expert load", () => {
     const experts = run("shifting-requests", "incremental");
     const joint = run("shifting-requests", "joint");
     assert.ok(joint.skewMean <= 1.03, `skew ${joint.skewMean}`);
@@ -135,7 +144,7 @@
 });
 
 describe("the weight between skew and cost", () => {
-  it("buys less skew with more bytes, and the reverse", () => {
+  it("reduces skew with more bytes, and saves bytes with more skew", () => {
     const weights = [0, 0.02, 0.1, 0.5, 1];
     const runs = weights.map((weight) => run("drift", "incremental", weight));
     runs.slice(1).forEach((current, index) => {
--- a/tests/balance/maps.test.ts
+++ b/tests/balance/maps.test.ts
@@ -13,7 +13,7 @@
   rankTimes,
   skewOf,
   stepTime,
-  DEFAULT_LIMITS,
+  DEFAULT_PLANNER_LIMITS,
   type ExpertMap,
   type GroupShape,
   type PlanInput,
@@ -62,7 +62,7 @@
   });
 });
 
-function isSound(map: ExpertMap): boolean {
+function isValidMap(map: ExpertMap): boolean {
   return checkMap(map).isRight();
 }
 
@@ -92,7 +92,7 @@
   });
 
   it("may leave slots empty", () => {
-    assert.ok(isSound(mapOf(shape, [0, 1, 2, -1])));
+    assert.ok(isValidMap(mapOf(shape, [0, 1, 2, -1])));
   });
 
   it("need a shape with room for every expert", () => {
@@ -100,21 +100,21 @@
     assert.ok(checkShape({ ...shape, slotsPerRank: 4 }).isLeft());
   });
 
-  it("start sound for every shape", () => {
+  it("are valid initially for every shape", () => {
     fc.assert(
-      fc.property(shapes, (any) => isSound(createEvenMap(any))),
+      fc.property(shapes, (shape) => isValidMap(createEvenMap(shape))),
       RUNS,
     );
   });
 });
 
 describe("plans", () => {
-  it("lead from the old map to a sound new one by their moves", () => {
+  it("lead to a valid map by their moves", () => {
     const planned = fc.property(inputs, (input) => {
       const plan = Planner.create(input.map.shape).plan(input);
       if (plan.kind === "stay") return;
       const { map, moves } = plan;
-      assert.ok(isSound(map));
+      assert.ok(isValidMap(map));
       assert.is(map.version, input.map.version + 1);
       assert.equal(
         [...Array.from(map.slots)],
@@ -124,13 +124,14 @@
     fc.assert(planned, RUNS);
   });
 
-  it("keep to transfer time and staging memory, and do what they foretell", () => {
+  it("respect transfer time and staging memory, and predict their effect", () => {
     const planned = fc.property(inputs, (input) => {
       const plan = Planner.create(input.map.shape).plan(input);
       if (plan.kind === "stay") return;
       const { predicted, moves, map } = plan;
       assert.ok(
-        predicted.transferSeconds <= DEFAULT_LIMITS.transferSeconds + 1e-9,
+        predicted.transferSeconds <=
+          DEFAULT_PLANNER_LIMITS.transferSeconds + 1e-9,
       );
       for (let rank = 0; rank < map.shape.ranks; rank++) {
         const staged = moves.filter((move) => move.rank === rank).length;
@@ -142,7 +143,7 @@
     fc.assert(planned, RUNS);
   });
 
-  it("never move when only cost counts", () => {
+  it("make no moves when only cost counts", () => {
     const planned = fc.property(inputs, (input) => {
       const plan = Planner.create(input.map.shape).plan({
         ...input,
@@ -155,13 +156,13 @@
 });
 
 describe("full repack and refinement", () => {
-  it("keep maps sound, and refinement never makes a layer slower", () => {
+  it("keep maps valid, and refinement never increases skew", () => {
     const packed = fc.property(inputs, (input) => {
       const { map, load, ranks } = input;
       const repacked = repack(map, load.tokens, ranks);
       const refined = refineMap(repacked, load.tokens, ranks, 20);
-      assert.ok(isSound(repacked));
-      assert.ok(isSound(refined));
+      assert.ok(isValidMap(repacked));
+      assert.ok(isValidMap(refined));
       assert.ok(skewUnder(refined, input) <= skewUnder(repacked, input) + 1e-9);
     });
     fc.assert(packed, RUNS);
@@ -179,7 +180,7 @@
     fc.assert(bounded, RUNS);
   });
 
-  it("fetch nothing that a rank holds already", () => {
+  it("fetch no expert that a rank already holds", () => {
     const shape = { ranks: 2, layers: 1, experts: 4, slotsPerRank: 2 };
     const map = mapOf(shape, [0, 1, 2, 3]);
     const tokens = Float64Array.of(9, 1, 8, 2);
--- a/tests/balance/planner-task.test.ts
+++ b/tests/balance/planner-task.test.ts
@@ -34,17 +34,17 @@
   }));
 }
 
-describe("the planner's thread", () => {
-  it("proposes a better map once it has seen enough, and tells why", async () => {
+describe("the planner thread", () => {
+  it("proposes a better map after enough windows, and emits the reason", async () => {
     const events: EventNumber[] = [];
     await using planner = PlannerThread.create({ shape: SHAPE }, (number) => {
       events.push(number);
     });
-    const left = [...windows()];
+    const remaining = [...windows()];
     const proposed: MovePlan[] = [];
     await runPlannerTask({
       planner,
-      nextWindow: () => Promise.resolve(left.shift()),
+      nextWindow: () => Promise.resolve(remaining.shift()),
       proposeMap: (plan) => {
         proposed.push(plan);
         return Promise.resolve();
@@ -59,16 +59,16 @@
     assert.ok(events.includes(181));
   });
 
-  it("that has ended answers with a failure and not with silence", async () => {
-    // The thread dies, out of memory say. A task that waited for its plan for
-    // good would leave the group unbalanced until the next restart; with a
-    // failure the task is started again, with a new thread.
+  it("rejects pending and later decisions once it has ended", async () => {
+    // The thread can die, for instance out of memory. A task waiting forever
+    // for its plan would leave the group unbalanced until the next restart;
+    // after a failure the task is restarted with a new thread.
     const planner = PlannerThread.create({ shape: SHAPE }, ignoreEvents);
     const [window] = windows();
-    const asked = planner.decide(window).catch((error: unknown) => error);
+    const pending = planner.decide(window).catch((error: unknown) => error);
     await planner[Symbol.asyncDispose]();
     const [before, after] = [
-      await asked,
+      await pending,
       await planner.decide(window).catch((error: unknown) => error),
     ];
     assert.is(before instanceof ApricotdeckError && before.number, 1805);
--- a/tests/balance/reports.test.ts
+++ b/tests/balance/reports.test.ts
@@ -37,7 +37,7 @@
     assert.equal([...collectTokens(MAP, reports)], [2, 4, 10]);
   });
 
-  it("are estimated from the replicas whose reports came", () => {
+  it("are estimated from the replicas that were reported", () => {
     const reports = [report(0, [1, 2])];
     assert.equal([...collectTokens(MAP, reports)], [2, 4, UNKNOWN_TOKENS]);
   });
@@ -45,11 +45,11 @@
 
 describe("speeds of ranks", () => {
   /*
-   * Skew grows with every plan. Half of a step doesn't depend on tokens, so
-   * the rank with most to do has the highest rate; taken for the fastest, it
-   * is given more work, and its rate rises further.
+   * Half of the step time doesn't depend on tokens, so the rank with the most
+   * work has the highest token rate. If that counted as speed, the rank would
+   * get more work, its rate would rise further, and skew would grow each plan.
    */
-  it("are even where ranks differ by their work alone", () => {
+  it("are equal where ranks differ only in their work", () => {
     const speeds = RankSpeeds.create(SHAPE);
     const secondsOf = (tokens: number): number => 1 + tokens / 100;
     const reports = [60, 100, 140].map((tokens, rank) =>
@@ -60,7 +60,7 @@
     assert.ok(Math.abs(speeds.fixedTokens - 100) < 5);
   });
 
-  it("show a rank that takes longer for the same work", () => {
+  it("reflect a rank that takes longer for the same work", () => {
     const speeds = RankSpeeds.create(SHAPE);
     for (let window = 0; window < 20; window++) {
       speeds.observe([
@@ -87,7 +87,7 @@
 });
 
 describe("the load forecast", () => {
-  it("keeps its estimate of experts that no report told of", () => {
+  it("keeps its estimate for experts that no report covers", () => {
     const forecast = LoadForecast.create(SHAPE);
     forecast.observe([10, 20, 30]);
     for (let window = 0; window < 30; window++) {
@@ -97,10 +97,10 @@
     assert.ok(Math.abs(tokens[2] - 30) < 1e-6);
   });
 
-  it("isn't thrown off by an expert that the first report left out", () => {
-    // The first window lacks a rank. Its expert appears in the second one:
-    // taken for a jump from nothing, it made the noise look so loud that the
-    // planner let skew grow for minutes.
+  it("isn't distorted by an expert missing from the first report", () => {
+    // The first window lacks a rank, and its expert appears in the second one.
+    // If that counted as a jump from zero, it would raise the noise estimate so
+    // far that the planner would let skew grow for minutes.
     const forecast = LoadForecast.create(SHAPE);
     forecast.observe([10_000, UNKNOWN_TOKENS, 30_000]);
     for (let window = 0; window < 10; window++) {
@@ -111,9 +111,9 @@
     assert.ok(Math.sqrt(variance[1]) < 200);
   });
 
-  it("drops what it knew before a lasting jump, but not for a single burst", () => {
-    // Demand turns to other experts for good. A mean that holds on to the old
-    // demand levels half of it, and the group waits for the rest for minutes.
+  it("restarts after a lasting jump, but not after a single burst", () => {
+    // Demand moves to other experts permanently. A mean that keeps the old
+    // demand corrects half of the change, and the rest takes minutes.
     const forecast = LoadForecast.create(SHAPE);
     const old = [10_000, 20_000, 30_000];
     const next = [30_000, 20_000, 10_000];
@@ -124,7 +124,7 @@
     assert.ok(Math.abs(forecast.predict(8).tokens[0] - 30_000) < 300);
   });
 
-  it("doesn't take more traffic for another share of it", () => {
+  it("keeps expert shares when total traffic rises", () => {
     const forecast = LoadForecast.create(SHAPE);
     for (let window = 0; window < 40; window++) {
       const traffic = window < 20 ? 100 : 1000;
@@ -135,31 +135,31 @@
     assert.ok(Math.abs(tokens[2] - 3000) < 30);
   });
 
-  it("knows demand that came back from demand that went on elsewhere", () => {
-    const swing = LoadForecast.create(SHAPE);
+  it("distinguishes demand that returns from demand that stays moved", () => {
+    const oscillating = LoadForecast.create(SHAPE);
     const wave = LoadForecast.create(SHAPE);
     const [one, two] = [
       [10_000, 20_000, 30_000],
       [30_000, 20_000, 10_000],
     ];
     for (let window = 0; window < 60; window++) {
-      swing.observe(window >= 40 && window < 50 ? two : one);
+      oscillating.observe(window >= 40 && window < 50 ? two : one);
       wave.observe(window >= 40 ? two : one);
     }
-    assert.is(swing.returningShare, 1);
+    assert.is(oscillating.returningShare, 1);
     assert.ok(wave.returningShare < 0.5);
   });
 
-  it("trusts the trend once a drift lasts, and the slow mean in a swing", () => {
+  it("weights the trend in a lasting drift, and the slow mean in oscillation", () => {
     const drift = LoadForecast.create(SHAPE);
-    const swing = LoadForecast.create(SHAPE);
+    const oscillating = LoadForecast.create(SHAPE);
     for (let window = 0; window < 120; window++) {
       drift.observe([1000 + 10 * window, 3000 - 10 * window, 2000]);
       const side = Math.floor(window / 6) % 2 === 0 ? 500 : -500;
-      swing.observe([2000 + side, 2000 - side, 2000]);
+      oscillating.observe([2000 + side, 2000 - side, 2000]);
     }
     assert.is(drift.weights.indexOf(Math.max(...drift.weights)), 2);
-    assert.is(swing.weights.indexOf(Math.max(...swing.weights)), 1);
+    assert.is(oscillating.weights.indexOf(Math.max(...oscillating.weights)), 1);
   });
 });
 
@@ -179,7 +179,7 @@
     return { balancer, events };
   }
 
-  it("stays, and says so, until reports have come", () => {
+  it("stays with an event until reports arrive", () => {
     const { balancer, events } = start();
     const plan = balancer.decide({
       map: MAP,
@@ -191,17 +191,17 @@
     assert.equal(events, [182]);
   });
 
-  it("leaves out tokens that were counted under another map", () => {
-    // Reports come late: some were counted before the last switch. Read with
-    // the new map, their tokens would go to experts that never had them, and
-    // the next plan would move experts for a load that isn't there.
+  it("ignores tokens counted under another map", () => {
+    // Late reports can predate the last map switch. Interpreted under the new
+    // map, their tokens would be assigned to other experts, and the next plan
+    // would move experts for load that doesn't exist.
     const { balancer, events } = start();
     balancer.observe(MAP, [report(0, [9, 9], { mapVersion: 3 })]);
     assert.equal(events, [184]);
     assert.equal([...Array.from(balancer.ranks.requestTokens)], [0, 0, 0]);
   });
 
-  it("names a slow rank once", () => {
+  it("reports a slow rank once", () => {
     const { balancer, events } = start();
     for (let window = 0; window < 9; window++) {
       balancer.observe(MAP, [
@@ -215,13 +215,13 @@
 });
 
 describe("request shares", () => {
-  it("level out expert work and speed", () => {
+  it("even out expert work and speed", () => {
     const work = { expertTokens: [10, 20, 60], speeds: [1, 1, 0.5] };
     const shares = levelRequests(work, 30);
     assert.equal([...shares], [20, 10, 0]);
   });
 
-  it("use every rank when there is enough to share", () => {
+  it("use every rank when there is enough request work", () => {
     const work = { expertTokens: [10, 20, 30], speeds: [1, 1, 1] };
     assert.equal([...levelRequests(work, 60)], [30, 20, 10]);
   });
--- a/tests/balance/traces.test.ts
+++ b/tests/balance/traces.test.ts
@@ -11,10 +11,10 @@
   } catch (thrown) {
     if (thrown instanceof ApricotdeckError) return thrown;
   }
-  throw new TypeError("the trace was taken");
+  throw new TypeError("the trace was accepted");
 }
 
-function assertRefused(text: string, line: number, problem: RegExp): void {
+function assertRejected(text: string, line: number, problem: RegExp): void {
   const failure = failureOf(text);
   assert.is(failure.number, 1801);
   assert.is(failure.detail.line, line);
@@ -34,30 +34,34 @@
     assert.equal([...windows[1].speeds], [1, 1]);
   });
 
-  it("is refused with the line that isn't JSON", () => {
-    assertRefused(`${GOOD}\nnonsense`, 2, /not JSON/);
+  it("is rejected with the line that isn't JSON", () => {
+    assertRejected(`${GOOD}\nnonsense`, 2, /not JSON/);
   });
 
-  it("is refused with the line and field of a wrong type", () => {
-    assertRefused('{"window":0,"counts":[[1,"x"]]}', 1, /counts\.0\.1/);
-    assertRefused('{"window":0,"counts":[[1,-1]]}', 1, /counts\.0\.1/);
-    assertRefused('{"window":0,"count":[[1]]}', 1, /counts/);
+  it("is rejected with the line and field of a wrong type", () => {
+    assertRejected('{"window":0,"counts":[[1,"x"]]}', 1, /counts\.0\.1/);
+    assertRejected('{"window":0,"counts":[[1,-1]]}', 1, /counts\.0\.1/);
+    assertRejected('{"window":0,"count":[[1]]}', 1, /counts/);
   });
 
-  it("is refused with the line whose layers or experts differ", () => {
-    assertRefused(`${GOOD}\n{"window":1,"counts":[[1,2]]}`, 2, /2 layers/);
-    assertRefused(`${GOOD}\n{"window":1,"counts":[[1,2],[3]]}`, 2, /2 experts/);
+  it("is rejected with the line whose layers or experts differ", () => {
+    assertRejected(`${GOOD}\n{"window":1,"counts":[[1,2]]}`, 2, /2 layers/);
+    assertRejected(
+      `${GOOD}\n{"window":1,"counts":[[1,2],[3]]}`,
+      2,
+      /2 experts/,
+    );
   });
 
-  it("is refused with the line whose window goes back", () => {
-    assertRefused(`${GOOD}\n${GOOD}`, 2, /window 0/);
+  it("is rejected with the line whose window doesn't increase", () => {
+    assertRejected(`${GOOD}\n${GOOD}`, 2, /window 0/);
   });
 
-  it("is refused when it holds nothing", () => {
-    assertRefused("\n", 1, /no windows/);
+  it("is rejected when it holds nothing", () => {
+    assertRejected("\n", 1, /no windows/);
   });
 
-  it("is refused when it can't be read", async () => {
+  it("is rejected when it can't be read", async () => {
     try {
       await readTrace("no-such-file.jsonl");
     } catch (thrown) {
--- a/tests/balance/windows.test.ts
+++ b/tests/balance/windows.test.ts
@@ -11,14 +11,14 @@
 
 const shape = { ranks: 2, layers: 1, experts: 2, slotsPerRank: 1 };
 const map: ExpertMap = { ...createEvenMap(shape), version: 7 };
-const settings = { windowSteps: 10, lateSteps: 2, leastShare: 0.25 };
+const settings = { windowSteps: 10, lateSteps: 2, minStepShare: 0.25 };
 
 function stepOf(rank: number, step: number, version = 7): RankStep {
   const counts = [[rank === 0 ? 5 : 0, rank === 1 ? 3 : 0]];
   return { rank, step, version, durationMs: 4, counts };
 }
 
-/** Takes in all these steps of rank 0. */
+/** Adds the given steps of rank 0 and returns the completed windows. */
 function collect(
   collector: WindowCollector,
   steps: readonly number[],
@@ -40,27 +40,27 @@
   });
 
   /*
-   * Reports of single steps get lost. A planner that took the sum of those
-   * that came would see demand fall and rise with the losses, and move experts
-   * for it; so steps that are missing count like those that came.
+   * Single step reports can be lost. If only the received ones were summed, the
+   * losses would look like changes of demand and cause expert moves, so the sum
+   * is scaled up to the full number of steps.
    */
-  it("are not smaller for step reports that were lost", () => {
+  it("don't shrink when step reports are lost", () => {
     const steps = range(0, 13).filter((step) => step % 2 === 0);
     const [window] = collect(WindowCollector.create(settings), steps);
     assert.equal(Array.from(window.tokens), [50]);
   });
 
-  it("tell nothing when most of their steps are missing", () => {
+  it("aren't reported when most of their steps are missing", () => {
     const windows = collect(WindowCollector.create(settings), [0, 1, 12, 13]);
     assert.is(windows.length, 0);
   });
 
   /*
-   * A switch happens within a window: the first steps ran on the old map,
-   * whose slots held other experts. Put together, their tokens would be
-   * counted for experts that never had them.
+   * After a map switch within a window, the first steps ran on the old map,
+   * whose slots held other experts. Summed with the rest, their tokens would be
+   * counted for the wrong experts.
    */
-  it("leave out steps of another map", () => {
+  it("ignore steps of another map", () => {
     const collector = WindowCollector.create(settings);
     const old = range(0, 5).flatMap((step) =>
       collector.add(stepOf(0, step, 6), map, 0),
@@ -71,8 +71,8 @@
   });
 
   /*
-   * An answer with step reports is lost and asked for again. Counted twice,
-   * they would move experts for a load that isn't there.
+   * Step reports are sent again when the answer carrying them was lost. Counted
+   * twice, they would cause moves for load that doesn't exist.
    */
   it("count a step once", () => {
     const collector = WindowCollector.create(settings);
@@ -81,7 +81,7 @@
     assert.equal(Array.from(window.tokens), [50]);
   });
 
-  it("come once, although a step of theirs comes late", () => {
+  it("are returned once even if one of their steps arrives late", () => {
     const collector = WindowCollector.create(settings);
     const windows = collect(collector, [...range(0, 13), 3, ...range(13, 14)]);
     assert.is(windows.length, 1);
@@ -106,10 +106,11 @@
   });
 
   /*
-   * One rank's agent is down and sends nothing. The planner still has to see
-   * the others, or a hot expert would stay hot until that agent is back.
+   * While one rank's agent is down and sends nothing, the planner still needs
+   * the reports of the others; otherwise a hot expert stays hot until it is
+   * back.
    */
-  it("go on without a rank that is silent", () => {
+  it("are completed without a silent rank", () => {
     const assembly = WindowAssembly.create(2);
     assembly.add(reportOf(0, 0));
     const windows = assembly.add(reportOf(0, 1));
