--- a/src/direct/attempt.ts
+++ b/src/direct/attempt.ts
@@ -1,13 +1,14 @@
 /**
- * One attempt at one runner, over a connection that carries nothing else
- * meanwhile. It ends exactly once, and never with another request's bytes: an
- * answer without this attempt's id closes the connection.
+ * One attempt to run a request at one runner, on a connection that carries no
+ * other request meanwhile. An attempt ends exactly once. A response without
+ * this attempt's id closes the connection, so a caller never receives the bytes
+ * of another request.
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Dispatcher } from "undici";
 import { createDeferred } from "../internal.js";
 import { endMarkOf } from "../shared/answer-end.js";
-import { HeldStream } from "./held-stream.js";
+import { StreamBuffer } from "./stream-buffer.js";
 import type { RunnerConnections } from "./runner-connections.js";
 import type {
   AttemptEnd,
@@ -16,20 +17,22 @@
   HeaderCodec,
 } from "./types.js";
 
-/** Lets a stream's bytes and its end wait for a caller that reads late. */
-export type Flow = Pick<HeldStream, "pause" | "resume">;
+/**
+ * Pauses and resumes the delivery of a stream while its caller reads slowly.
+ */
+export type FlowControl = Pick<StreamBuffer, "pause" | "resume">;
 
-/** Takes a stream's bytes. */
+/** Receives the head, the bytes and the end of a streamed response. */
 export interface StreamSink {
-  /** A success has begun. */
+  /** Called when a response with a success status begins. */
   readonly onHead: (
     status: number,
     headers: IncomingHttpHeaders,
     endMark: EndMark,
   ) => void;
-  /** Undefined when all is well, else why the attempt has to end. */
-  readonly onData: (chunk: Buffer, flow: Flow) => string | undefined;
-  /** Undefined when the stream is whole. */
+  /** Returns undefined, or the reason for which the attempt must be aborted. */
+  readonly onData: (chunk: Buffer, flow: FlowControl) => string | undefined;
+  /** Returns undefined if the stream is complete, otherwise what is missing. */
   readonly onEnd: () => string | undefined;
 }
 
@@ -38,18 +41,26 @@
   readonly request: Dispatcher.DispatchOptions;
   readonly attemptId: string | undefined;
   readonly codec: HeaderCodec;
-  /** Present for streams, which pass on event by event. */
+  /**
+   * Set for streams, which are forwarded event by event; other responses are
+   * buffered.
+   */
   readonly sink: StreamSink | undefined;
-  /** Largest answer that is held until it is whole, bytes. */
-  readonly maximumBytes: number;
+  /**
+   * Limit for a buffered response, and for the part of a stream that its caller
+   * hasn't read yet, bytes.
+   */
+  readonly maximumBufferedBytes: number;
 }
 
-const FIRST_FAILURE = 300;
-/** Statuses that promise that a request has not run. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const FIRST_NON_SUCCESS_STATUS = 300;
+/** Statuses that tell the caller that the request hasn't been executed. */
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([
+  408, 421, 429, 503,
+]);
 
 export class Attempt {
-  private readonly ended = createDeferred<AttemptEnd>();
+  private readonly completion = createDeferred<AttemptEnd>();
   private isEnded = false;
   private wasSent = false;
   private controller: Dispatcher.DispatchController | undefined;
@@ -59,14 +70,14 @@
   private isStream = false;
   private isNotRun = false;
   private faultyRunner: string | undefined;
-  private readonly held: HeldStream;
-  private readonly parts: Buffer[] = [];
-  private size = 0;
+  private readonly streamBuffer: StreamBuffer;
+  private readonly bodyChunks: Buffer[] = [];
+  private receivedBytes = 0;
 
   private constructor(private readonly options: AttemptOptions) {
-    this.held = HeldStream.create({
+    this.streamBuffer = StreamBuffer.create({
       onData: (chunk) => {
-        this.passOn(chunk);
+        this.forwardChunk(chunk);
       },
       onEnd: () => {
         this.onEnd();
@@ -78,18 +89,24 @@
     return new Attempt(options);
   }
 
-  /** Sends the request and waits for the end; never throws. */
+  /**
+   * Sends the request and resolves when the attempt has ended; never rejects.
+   */
   async run(): Promise<AttemptEnd> {
     const { connections, request } = this.options;
     try {
       connections.dispatch(request, this.handler());
     } catch (error) {
-      this.onError(error instanceof Error ? error.message : "not an error");
+      this.onError(
+        error instanceof Error ? error.message : "non-Error value thrown",
+      );
     }
-    return this.ended.promise;
+    return this.completion.promise;
   }
 
-  /** Closes the connection, by which the runner learns of it. */
+  /**
+   * Aborts the attempt by closing its connection; the runner sees the close.
+   */
   giveUp(reason: GiveUpReason): void {
     this.end({ kind: "given-up", wasSent: this.wasSent, reason });
     this.controller?.abort(new Error(reason));
@@ -109,7 +126,7 @@
         this.onData(controller, chunk);
       },
       onResponseEnd: () => {
-        this.held.end();
+        this.streamBuffer.end();
       },
       onResponseError: (_controller, error) => {
         this.onError(error.message);
@@ -124,9 +141,9 @@
   ): void {
     const { attemptId, codec, sink } = this.options;
     const fields = codec.readAnswer(status, headers);
-    const fault = this.faultOf(status, fields, headers, attemptId);
+    const fault = this.protocolViolation(status, fields, headers, attemptId);
     if (fault !== undefined) {
-      this.break(controller, fault);
+      this.abortBroken(controller, fault);
       return;
     }
     this.status = status;
@@ -134,28 +151,30 @@
     this.endMark = endMarkOf(status, headers);
     this.isNotRun = fields.isNotRun;
     this.faultyRunner = fields.faultyRunner;
-    this.isStream = sink !== undefined && status < FIRST_FAILURE;
+    this.isStream = sink !== undefined && status < FIRST_NON_SUCCESS_STATUS;
     if (this.isStream) sink?.onHead(status, headers, this.endMark);
   }
 
-  /** What makes the answer unfit to pass on. */
-  private faultOf(
+  /** Returns why the response must not be forwarded, or undefined. */
+  private protocolViolation(
     status: number,
     fields: ReturnType<HeaderCodec["readAnswer"]>,
     headers: IncomingHttpHeaders,
     attemptId: string | undefined,
   ): string | undefined {
-    // A refusal may name no attempt; one that names another is a late one.
+    // A refusal may omit the attempt id. One with another id is a late response
+    // to an earlier attempt.
     const isUnnamed = fields.attemptId === undefined;
     if (fields.attemptId !== attemptId && !(fields.isNotRun && isUnnamed)) {
       return "answer to another attempt";
     }
     if (fields.isNotRun) return undefined;
     if (headers["content-encoding"] !== undefined) return "encoded body";
-    const isSuccess = status < FIRST_FAILURE;
+    const isSuccess = status < FIRST_NON_SUCCESS_STATUS;
     if (isSuccess && fields.signature === undefined) return "unsigned success";
-    // Passed on, the status would promise what the runner didn't say.
-    if (PROMISES.has(status)) return "promise without proof";
+    // Forwarded, the status would claim that the request wasn't executed, which
+    // the runner hasn't stated.
+    if (NOT_EXECUTED_STATUSES.has(status)) return "unproven refusal status";
     return undefined;
   }
 
@@ -164,22 +183,23 @@
     chunk: Buffer,
   ): void {
     if (this.isEnded) return;
-    const { maximumBytes } = this.options;
+    const { maximumBufferedBytes } = this.options;
     if (this.isStream) {
-      this.held.push(chunk);
-      if (this.held.bytes > maximumBytes) {
-        this.break(controller, "caller reads too late");
+      this.streamBuffer.push(chunk);
+      if (this.streamBuffer.bufferedBytes > maximumBufferedBytes) {
+        this.abortBroken(controller, "caller reads too slowly");
       }
       return;
     }
-    this.parts.push(chunk);
-    this.size += chunk.length;
-    if (this.size > maximumBytes) this.break(controller, "answer too large");
+    this.bodyChunks.push(chunk);
+    this.receivedBytes += chunk.length;
+    if (this.receivedBytes > maximumBufferedBytes)
+      this.abortBroken(controller, "answer too large");
   }
 
-  private passOn(chunk: Buffer): void {
+  private forwardChunk(chunk: Buffer): void {
     if (this.isEnded) return;
-    const fault = this.options.sink?.onData(chunk, this.held);
+    const fault = this.options.sink?.onData(chunk, this.streamBuffer);
     if (fault === undefined) return;
     this.end({ kind: "broken", reason: fault, isLost: false });
     this.controller?.abort(new Error(fault));
@@ -191,7 +211,7 @@
     if (this.isStream) {
       const fault = this.options.sink?.onEnd();
       if (fault === undefined) this.end({ kind: "streamed", endMark });
-      else this.endBroken(fault);
+      else this.endIncompleteStream(fault);
       return;
     }
     if (this.isNotRun) {
@@ -199,12 +219,15 @@
       this.end({ kind: "not-run", status, faultyRunner });
       return;
     }
-    const body = Buffer.concat(this.parts);
+    const body = Buffer.concat(this.bodyChunks);
     this.end({ kind: "answered", answer: { status, headers, body, endMark } });
   }
 
-  /** Where only its connection ends an answer, that has gone too soon. */
-  private endBroken(reason: string): void {
+  /**
+   * If only the connection's close marks the end of the response, an incomplete
+   * stream means that the connection was lost.
+   */
+  private endIncompleteStream(reason: string): void {
     const isLost = this.endMark === "connection";
     this.end({ kind: "broken", reason, isLost });
   }
@@ -214,7 +237,7 @@
     else this.end({ kind: "unsent", reason });
   }
 
-  private break(
+  private abortBroken(
     controller: Dispatcher.DispatchController,
     reason: string,
   ): void {
@@ -225,6 +248,6 @@
   private end(end: AttemptEnd): void {
     if (this.isEnded) return;
     this.isEnded = true;
-    this.ended.resolve(end);
+    this.completion.resolve(end);
   }
 }
--- a/src/direct/caller-listener.ts
+++ b/src/direct/caller-listener.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' address: reads a request whole, checks it against the
- * configuration in force, and hands it on. Whatever can't be served is
- * answered at once.
+ * HTTP server for callers: reads each request in full, checks it against the
+ * current configuration and passes it to the forwarder. Requests that can't be
+ * served are answered with an error at once.
  */
 import {
   createServer,
@@ -25,11 +25,14 @@
 export interface CallerListenerOptions {
   readonly codec: HeaderCodec;
   readonly random: Random;
-  /** Undefined before a configuration is in force. */
+  /** Undefined until a configuration has been loaded. */
   readonly routes: () => RouteTable | undefined;
-  /** Connections are closed after their answer. */
+  /**
+   * Whether the entry is shutting down: connections are closed after their
+   * response.
+   */
   readonly isLeaving: () => boolean;
-  /** New requests are refused. */
+  /** Whether new requests are refused. */
   readonly isClosed: () => boolean;
   readonly serve: (call: Call, response: ServerResponse) => Promise<void>;
   readonly fail: (
@@ -40,41 +43,47 @@
 }
 
 /**
- * What the parser takes before a configuration tells the operator's limit,
- * bytes; the limit itself is checked on each request.
+ * Header limit of the HTTP parser, bytes. The parser is created before the
+ * configured limit is known; that limit is checked on each request.
  */
-const PARSER_HEAD_BYTES = 64 * 1024;
-/** Time for a head, and between two requests, until a configuration tells, ms. */
-const FIRST_HEAD_MS = 3000;
-const FIRST_IDLE_MS = 15_000;
-/** An entry that has no configuration yet gets one within about this time, ms. */
-const UNREADY_RETRY_MS = 500;
+const MAXIMUM_PARSER_HEADER_BYTES = 64 * 1024;
+/**
+ * Timeouts for reading headers and for idle connections until a configuration
+ * sets them, ms.
+ */
+const DEFAULT_HEADERS_TIMEOUT_MS = 3000;
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/**
+ * Retry delay for callers while the entry has no configuration; one usually
+ * arrives within this time, ms.
+ */
+const NOT_READY_RETRY_AFTER_MS = 500;
 
 export function createCallerListener(options: CallerListenerOptions): Server {
   const server = createServer(
     {
-      maxHeaderSize: PARSER_HEAD_BYTES,
-      headersTimeout: FIRST_HEAD_MS,
+      maxHeaderSize: MAXIMUM_PARSER_HEADER_BYTES,
+      headersTimeout: DEFAULT_HEADERS_TIMEOUT_MS,
       requestTimeout: 0,
-      keepAliveTimeout: FIRST_IDLE_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
       connectionsCheckingInterval: 1000,
       noDelay: true,
     },
     (request, response) => {
-      void handle(request, response, options);
+      void handleRequest(request, response, options);
     },
   );
   server.on("clientError", answerUnreadable);
   return server;
 }
 
-/** Takes over the operator's limits on connections. */
+/** Applies the configured timeouts to the server. */
 export function applyBounds(server: Server, bounds: CallerBounds): void {
   server.headersTimeout = bounds.headMs;
   server.keepAliveTimeout = bounds.idleMs;
 }
 
-async function handle(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: CallerListenerOptions,
@@ -89,7 +98,7 @@
   } catch (error) {
     const refusal = toFailure(error, 1215);
     if (!request.complete) response.setHeader("connection", "close");
-    const retryMs = refusal.entry.status === 503 ? UNREADY_RETRY_MS : 0;
+    const retryMs = refusal.entry.status === 503 ? NOT_READY_RETRY_AFTER_MS : 0;
     options.fail(response, refusal, retryMs);
   }
 }
@@ -103,14 +112,15 @@
   const routes = options.routes();
   if (routes === undefined) return raise(1103);
   const { bounds } = routes.configuration;
-  checkHead(request, bounds);
+  checkHeaderSize(request, bounds);
   const body = await readBody(request, bounds.bodyBytes);
   if (options.isClosed()) raise(1213);
-  // The body may have taken long: what is in force now decides.
-  return resolve(request, body, options, arrivedAtMs);
+  // Reading the body can take long, so the configuration that applies now is
+  // used.
+  return resolveCall(request, body, options, arrivedAtMs);
 }
 
-function resolve(
+function resolveCall(
   request: IncomingMessage,
   body: Buffer,
   options: CallerListenerOptions,
@@ -138,11 +148,11 @@
     account: account?.name,
     priority: account?.priority ?? route.priority,
     arrivedAtMs,
-    dueAtMs: arrivedAtMs + timeOf(route, fields),
+    deadlineAtMs: arrivedAtMs + timeoutOf(route, fields),
   };
 }
 
-/** Without a port, as routes name it. */
+/** Host without the port, as in the route table. */
 function hostnameOf({ headers }: IncomingMessage): string {
   return (headers.host ?? "").replace(/:\d+$/, "").toLowerCase();
 }
@@ -161,11 +171,11 @@
   return { name: account.name, priority: account.priority ?? route.priority };
 }
 
-function timeOf({ timeoutMs }: Route, { deadlineMs }: CallFields): number {
+function timeoutOf({ timeoutMs }: Route, { deadlineMs }: CallFields): number {
   return Math.min(timeoutMs, deadlineMs ?? Number.POSITIVE_INFINITY);
 }
 
-function checkHead(request: IncomingMessage, bounds: CallerBounds): void {
+function checkHeaderSize(request: IncomingMessage, bounds: CallerBounds): void {
   const size = request.rawHeaders.reduce(
     (total, text) => total + text.length + 2,
     request.url?.length ?? 0,
--- a/src/direct/circuit-breaker.ts
+++ b/src/direct/circuit-breaker.ts
@@ -1,31 +1,35 @@
 /**
- * Stops sending to runners that all refuse. A group of ranks refuses as one: while
- * a rank is missing, or while the group forms again after a loss of all VMs, every
- * runner answers that it has not run the request. Each caller that is sent there
- * loses both of its attempts within milliseconds, and most of them have come back
- * once already. In the half second until the group opened 55 to 72 callers were
- * lost that way (12 ranks, 45 requests a second).
+ * Stops sending requests to a group whose runners all refuse. While a rank is
+ * missing, or while the group forms again after the loss of all its VMs, every
+ * runner of the group answers that it hasn't run the request. A caller that is
+ * sent there loses both of its attempts within milliseconds, and most callers
+ * are on a retry already. In the half second until the group recovered, 55 to
+ * 72 callers were lost that way (12 ranks, 45 requests per second).
  *
- * So after a few refusals in a row requests go elsewhere or wait, and one at a time
- * finds out whether the runners are back. Refusals are counted by runner: those of a
- * runner that has started again tell nothing of its new life.
+ * After a few consecutive refusals, requests therefore go to another group or
+ * wait, and one trial request at a time checks whether the runners have
+ * recovered. Refusals are counted per runner, because those of an earlier
+ * incarnation say nothing about a restarted runner.
  */
 import type { Now } from "../internal.js";
 
 /**
- * Refusals without an answer between them. Runners that are only full refuse
- * now and then among others that accept.
+ * Refusals, with no accepted request in between, that open the breaker. Runners
+ * that are merely full refuse now and then while others accept.
  */
 const REFUSALS_TO_OPEN = 4;
-/** Between two requests that find out whether the runners are back, ms. */
+/** Interval between two trial requests, ms. */
 const TRIAL_INTERVAL_MS = 60;
-/** The same while others of the service accept, and a trial only costs time, ms. */
-const SPARE_TRIAL_INTERVAL_MS = 500;
+/**
+ * Interval between two trial requests while other groups of the service accept
+ * requests, ms: a trial then only adds latency.
+ */
+const ALTERNATIVE_TRIAL_INTERVAL_MS = 500;
 
 export class CircuitBreaker {
-  /** Since the last answer, by the id of the runner that refused. */
-  private readonly refusals = new Map<string, number>();
-  private triedAtMs = 0;
+  /** Refusals since the last accepted request, by runner id. */
+  private readonly refusalsByRunner = new Map<string, number>();
+  private lastTrialAtMs = 0;
 
   private constructor(private readonly now: Now) {}
 
@@ -33,47 +37,53 @@
     return new CircuitBreaker(now);
   }
 
-  /** Whether nothing but a trial is sent. */
+  /** Whether only trial requests are allowed. */
   get isOpen(): boolean {
     return this.countRefusals() >= REFUSALS_TO_OPEN;
   }
 
   /**
-   * Whether a request may be sent now; takes the trial if it is one.
-   * `hasAlternative`: it could run elsewhere.
+   * Returns whether a request may be sent now. If the breaker is open, a
+   * returned true counts as the trial. `hasAlternative`: the request could run
+   * in another group.
    */
-  mayStart(hasAlternative = false): boolean {
+  tryStart(hasAlternative = false): boolean {
     if (!this.isOpen) return true;
     const nowMs = this.now();
     const intervalMs = hasAlternative
-      ? SPARE_TRIAL_INTERVAL_MS
+      ? ALTERNATIVE_TRIAL_INTERVAL_MS
       : TRIAL_INTERVAL_MS;
-    if (nowMs < this.triedAtMs + intervalMs) return false;
-    this.triedAtMs = nowMs;
+    if (nowMs < this.lastTrialAtMs + intervalMs) return false;
+    this.lastTrialAtMs = nowMs;
     return true;
   }
 
-  /** The runner said that it has not run a request. */
+  /** The runner has refused a request without running it. */
   onRefused(runner: string): void {
-    this.refusals.set(runner, (this.refusals.get(runner) ?? 0) + 1);
+    this.refusalsByRunner.set(
+      runner,
+      (this.refusalsByRunner.get(runner) ?? 0) + 1,
+    );
     if (this.countRefusals() === REFUSALS_TO_OPEN) {
-      this.triedAtMs = this.now();
+      this.lastTrialAtMs = this.now();
     }
   }
 
-  /** A runner has begun to answer. */
+  /** A runner has started to respond: closes the breaker. */
   onAccepted(): void {
-    this.refusals.clear();
+    this.refusalsByRunner.clear();
   }
 
-  /** The runner has started again; what it refused before says nothing. */
-  forget(runner: string): void {
-    this.refusals.delete(runner);
+  /**
+   * The runner has restarted: drops the refusals of its earlier incarnation.
+   */
+  forgetRunner(runner: string): void {
+    this.refusalsByRunner.delete(runner);
   }
 
   private countRefusals(): number {
     let total = 0;
-    for (const count of this.refusals.values()) total += count;
+    for (const count of this.refusalsByRunner.values()) total += count;
     return total;
   }
 }
--- a/src/direct/suspected-run.ts
+++ b/src/direct/crash-tracker.ts
@@ -1,5 +1,6 @@
 /**
- * One request as a suspect: whether it is withheld, and what becomes of its runs.
+ * Tracks whether a request crashes its runners: whether it is withheld as a
+ * suspect, and which of its attempts were lost to a crash.
  */
 import type { BackendServer } from "../membership/types.js";
 import { digestOf } from "../suspects/request-digest.js";
@@ -7,13 +8,13 @@
 import type { AttemptEnd, Call } from "./types.js";
 
 /**
- * A request that crashes its runner does so when it begins to run. One whose
- * events have come for longer than this is no suspect, ms.
+ * A request that crashes its runner does so when it starts to run. A request
+ * whose events have come for longer than this is no suspect, ms.
  */
-const BEGINNING_MS = 1000;
+const STARTUP_CRASH_WINDOW_MS = 1000;
 
-export class SuspectedRun {
-  private knownDigest: string | undefined;
+export class CrashTracker {
+  private cachedDigest: string | undefined;
   private sentAtMs = 0;
   private firstEventAtMs: number | undefined;
 
@@ -22,8 +23,8 @@
     private readonly call: Call,
   ) {}
 
-  static create(suspects: SuspectDesk, call: Call): SuspectedRun {
-    return new SuspectedRun(suspects, call);
+  static create(suspects: SuspectDesk, call: Call): CrashTracker {
+    return new CrashTracker(suspects, call);
   }
 
   get isWithheld(): boolean {
@@ -31,26 +32,26 @@
     return requests.size > 0 && requests.isWithheld(this.digest);
   }
 
-  /** A run begins. */
-  onSent(): void {
+  /** An attempt has been sent. */
+  onAttemptSent(): void {
     this.sentAtMs = this.suspects.now();
     this.firstEventAtMs = undefined;
   }
 
-  /** An event of the run has come. */
-  onEvent(): void {
+  /** An event of the attempt's response has arrived. */
+  onStreamEvent(): void {
     this.firstEventAtMs ??= this.suspects.now();
   }
 
-  /** Resolves once it is known whether the run was lost to a crash. */
-  async onEnd(runner: BackendServer, end: AttemptEnd): Promise<void> {
+  /** Resolves when it is known whether the attempt was lost to a crash. */
+  async onAttemptEnd(runner: BackendServer, end: AttemptEnd): Promise<void> {
     const { crashes } = this.suspects;
     if (end.kind === "not-run" && end.faultyRunner !== undefined) {
       crashes.onCrashed(end.faultyRunner);
     }
     if (end.kind === "streamed" || end.kind === "answered") this.acquit();
     const isLost = end.kind === "broken" && end.isLost;
-    if (!isLost || this.isBehindBeginning()) return;
+    if (!isLost || this.hasPassedStartup()) return;
     const { digest, sentAtMs } = this;
     await crashes.onLost(runner, { digest, sentAtMs });
   }
@@ -62,13 +63,13 @@
     }
   }
 
-  private isBehindBeginning(): boolean {
+  private hasPassedStartup(): boolean {
     if (this.firstEventAtMs === undefined) return false;
-    return this.suspects.now() - this.firstEventAtMs > BEGINNING_MS;
+    return this.suspects.now() - this.firstEventAtMs > STARTUP_CRASH_WINDOW_MS;
   }
 
   private get digest(): string {
-    this.knownDigest ??= digestOf(this.call);
-    return this.knownDigest;
+    this.cachedDigest ??= digestOf(this.call);
+    return this.cachedDigest;
   }
 }
--- a/src/direct/end-to-end-headers.ts
+++ b/src/direct/end-to-end-headers.ts
@@ -1,4 +1,7 @@
-/** Headers that pass through a proxy; the rest concerns one connection. */
+/**
+ * Removes hop-by-hop headers, which apply to a single connection and must not
+ * be forwarded.
+ */
 import type { HeaderPairs } from "./types.js";
 
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
@@ -15,21 +18,21 @@
   "expect",
 ]);
 
-/** Node's raw list (name, value, name, ...) without one connection's headers. */
+/** End-to-end headers of Node's raw header list (name, value, name, ...). */
 export function endToEndHeaders(rawHeaders: readonly string[]): HeaderPairs {
   const pairs: [string, string][] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     pairs.push([rawHeaders[index], rawHeaders[index + 1]]);
   }
-  const named = namedByConnection(pairs);
+  const named = headersNamedByConnection(pairs);
   return pairs.filter(([name]) => {
     const key = name.toLowerCase();
     return !HOP_BY_HOP.has(key) && !named.has(key);
   });
 }
 
-/** Answer headers as the runner gave them, without one connection's. */
-export function answerHeaders(
+/** End-to-end headers of a runner's response. */
+export function endToEndResponseHeaders(
   headers: Readonly<NodeJS.Dict<string | string[]>>,
 ): Record<string, string | string[]> {
   const passed: Record<string, string | string[]> = {};
@@ -39,7 +42,7 @@
   return passed;
 }
 
-function namedByConnection(pairs: HeaderPairs): ReadonlySet<string> {
+function headersNamedByConnection(pairs: HeaderPairs): ReadonlySet<string> {
   const names = pairs
     .filter(([name]) => name.toLowerCase() === "connection")
     .flatMap(([, value]) => value.split(","))
--- a/src/direct/entry-topics.ts
+++ b/src/direct/entry-topics.ts
@@ -1,6 +1,7 @@
 /**
- * The topics of the store that an entry follows: configuration and register for as
- * long as they say who may be served and by whom, and notes of other processes.
+ * Follows the topics of the store that an entry reads: the configuration and
+ * the register of runners, which determine who may be served and by whom, and
+ * the notes of other processes.
  */
 import type { Emit, Measurements } from "../internal.js";
 import { registerIntervalMs } from "../membership/register-interval.js";
@@ -10,37 +11,44 @@
 import { followTopic, type FollowOptions } from "../platform/topic-follower.js";
 import { CONFIGURATION_STREAM } from "../routing/newest-configuration.js";
 
-/** Takes what a topic holds or what has changed in it. */
-export type TakeRecords = (records: readonly KeyedRecord[]) => void;
+/** Receives the records of a topic, or those that have changed. */
+export type RecordsHandler = (records: readonly KeyedRecord[]) => void;
 
 export interface EntryTopicsOptions {
   readonly emit: Emit;
   readonly measurements: Measurements;
   readonly findings: RecordFindings;
-  /** Time for which a leaving runner may still get work, ms. */
+  /**
+   * Time during which a runner that is shutting down may still receive
+   * requests, ms.
+   */
   readonly drainMs: number;
 }
 
-/** What is done with a topic beside taking its records. */
-export type TopicWatch = Pick<FollowOptions, "onLost" | "onRestored">;
+/** Called when a topic can't be read any more and when it can be read again. */
+export type TopicOutageHandlers = Pick<FollowOptions, "onLost" | "onRestored">;
 
-export type RegisterWatch = TopicWatch & Pick<FollowOptions, "onReturned">;
+export type RegisterOutageHandlers = TopicOutageHandlers &
+  Pick<FollowOptions, "onReturned">;
 
 /**
- * Longest read of the configuration, ms. The store answers as soon as there is
- * a change; a connection that fell silent is noticed after this time.
+ * Long-poll timeout of the configuration topic, ms. The store answers as soon
+ * as there is a change; a silent connection is detected after this time.
  */
-const CONFIGURATION_WAIT_MS = 2000;
+const CONFIGURATION_LONG_POLL_MS = 2000;
 /**
- * Longest read of notes of planners and other entries, ms. There are none for
- * most of the time; a connection that fell silent costs no more than late news.
+ * Long-poll timeout of notes of planners and other entries, ms. Notes are rare,
+ * and an undetected silent connection only delays them.
  */
-const NOTES_WAIT_MS = 10_000;
+const NOTES_LONG_POLL_MS = 10_000;
 
-const nothing = (): void => undefined;
+const noop = (): void => undefined;
 
 export class EntryTopics {
-  /** Monotonic, ms. An entry may start while servers register again. */
+  /**
+   * Time since which the store has been available, monotonic, ms. Initially the
+   * start of this entry, because servers may be registering again at that time.
+   */
   private storeReturnedAtMs = performance.now();
 
   private constructor(
@@ -48,45 +56,49 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Everything is followed until the signal aborts. */
+  /** All subscriptions end when the signal aborts. */
   static create(options: EntryTopicsOptions, signal: AbortSignal): EntryTopics {
     return new EntryTopics(options, signal);
   }
 
   followConfiguration(
     topic: KeyedTopic,
-    take: TakeRecords,
-    { onLost, onRestored }: TopicWatch,
+    onRecords: RecordsHandler,
+    { onLost, onRestored }: TopicOutageHandlers,
   ): void {
     this.follow(CONFIGURATION_STREAM, topic, {
-      waitMs: CONFIGURATION_WAIT_MS,
+      waitMs: CONFIGURATION_LONG_POLL_MS,
       intervalMs: () => 0,
-      onSnapshot: take,
-      onChanges: take,
-      onReturned: nothing,
+      onSnapshot: onRecords,
+      onChanges: onRecords,
+      onReturned: noop,
       onLost,
       onRestored,
     });
   }
 
-  /** Notes that planners or other entries write; none of them is removed. */
-  followNotes(name: string, topic: KeyedTopic, take: TakeRecords): void {
+  /** Follows notes of planners or other entries. Notes are never removed. */
+  followNotes(
+    name: string,
+    topic: KeyedTopic,
+    onRecords: RecordsHandler,
+  ): void {
     this.follow(name, topic, {
-      waitMs: NOTES_WAIT_MS,
+      waitMs: NOTES_LONG_POLL_MS,
       intervalMs: () => 0,
-      onSnapshot: take,
-      onChanges: take,
-      onReturned: nothing,
-      onLost: nothing,
-      onRestored: nothing,
+      onSnapshot: onRecords,
+      onChanges: onRecords,
+      onReturned: noop,
+      onLost: noop,
+      onRestored: noop,
     });
   }
 
   followRegister(
     topic: KeyedTopic,
-    onSnapshot: TakeRecords,
-    onChanges: TakeRecords,
-    { onReturned, onLost, onRestored }: RegisterWatch,
+    onSnapshot: RecordsHandler,
+    onChanges: RecordsHandler,
+    { onReturned, onLost, onRestored }: RegisterOutageHandlers,
   ): void {
     this.follow(REGISTER_STREAM, topic, {
       waitMs: 0,
--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -1,6 +1,7 @@
 /**
- * An entry of the direct path: callers on one side, runners on the other, and
- * the platform's store for what the operator wants and who serves.
+ * An entry of the direct path: forwards callers' requests to runners over HTTP
+ * and reads the configuration and the register of runners from the platform's
+ * store.
  */
 import { randomUUID } from "node:crypto";
 import { createServer, type ServerResponse } from "node:http";
@@ -45,10 +46,10 @@
 import { applyBounds, createCallerListener } from "./caller-listener.js";
 import { EntryTopics } from "./entry-topics.js";
 import { Forwarder } from "./forwarder.js";
-import { PaceInquiry } from "./pace-inquiry.js";
-import { connectRunner, steadyUnixMs } from "./runner-connections.js";
+import { SlowRunnerProbe } from "./slow-runner-probe.js";
+import { connectRunner, monotonicUnixMs } from "./runner-connections.js";
 import { portState } from "./port-state.js";
-import { ServiceGate } from "./service-gate.js";
+import { RequestScheduler } from "./request-scheduler.js";
 import {
   changedFields,
   hostPortOf,
@@ -60,7 +61,7 @@
 export interface DirectEntryOptions {
   readonly settings: DirectEntrySettings;
   readonly codec: HeaderCodec;
-  /** Of the store that holds the topics. */
+  /** Era of the store that holds the topics. */
   readonly era: StoreEra;
   readonly configuration: KeyedTopic;
   /** The key of the configuration's record. */
@@ -74,29 +75,32 @@
   readonly pace: KeyedTopic;
   /** Which runners form a group. */
   readonly groups: KeyedTopic;
-  /** Which requests may have crashed runners, and where this entry tells. */
+  /**
+   * Notes about requests that may have crashed runners. This entry writes its
+   * own through `suspectNotes`.
+   */
   readonly suspects: KeyedTopic;
   readonly suspectNotes: KeyedWriter;
-  /** How many times as long as usual a runner takes. Throws 1607. */
+  /** Ratio of the runner's response time to its usual one. Throws 1607. */
   readonly slownessOf: (address: string) => Promise<number>;
-  /** Path that the platform's balancer asks. */
+  /** Path of the readiness check of the platform's load balancer. */
   readonly readinessPath: string;
 }
 
 export interface EntryAddresses {
   readonly callers: string;
   readonly readiness: string;
-  /** Undefined where the settings name none. */
+  /** Undefined if the settings contain no metrics address. */
   readonly metrics: string | undefined;
 }
 
 /**
- * New connections come until the balancer has noticed, which asks once a
- * second and believes the second miss, ms.
+ * Time after which the load balancer sends no new connections, ms: it checks
+ * readiness once a second and reacts to the second failure.
  */
-const NOTICE_MS = 2600;
-/** Part of the grace period in which running requests may end. */
-const GRACE_SHARE = 0.92;
+const BALANCER_NOTICE_MS = 2600;
+/** Share of the grace period during which running requests may finish. */
+const DRAIN_SHARE_OF_GRACE = 0.92;
 const DRAIN_POLL_MS = 50;
 
 export class DirectEntry implements AsyncDisposable {
@@ -104,23 +108,23 @@
   private readonly emit: Emit;
   private readonly measurements: Measurements;
   private readonly registry;
-  private readonly gate: ServiceGate;
+  private readonly scheduler: RequestScheduler;
   private readonly slowRunners: SlowRunners;
   private readonly runnerGroups = RunnerGroups.create();
-  private readonly paceInquiry: PaceInquiry;
+  private readonly slowRunnerProbe: SlowRunnerProbe;
   private readonly findings: RecordFindings;
   private readonly registerReader: RegisterReader;
   private readonly directory: BackendServerDirectory;
   private readonly suspects: SuspectDesk;
   private readonly forwarder: Forwarder;
-  private readonly stop = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly server;
   private routes: RouteTable | undefined;
-  private hasRegister = false;
+  private hasReadRegister = false;
   private isLeaving = false;
   private isClosed = false;
-  /** Answers to the requests that are being served. */
-  private readonly open = new Set<ServerResponse>();
+  /** Responses that haven't been sent completely. */
+  private readonly openResponses = new Set<ServerResponse>();
   private readonly timers = new Set<NodeJS.Timeout>();
   private graceSeconds: number;
   private listening: Listening[] = [];
@@ -143,12 +147,12 @@
     });
     const now = (): number => performance.now();
     const after: After = (delayMs, action) => {
-      this.after(delayMs, action);
+      this.schedule(delayMs, action);
     };
     const random = Math.random;
     const slowRunners = SlowRunners.create(now, emit);
     this.slowRunners = slowRunners;
-    const gate = ServiceGate.create({
+    const scheduler = RequestScheduler.create({
       now,
       random,
       emit,
@@ -158,13 +162,13 @@
         slowRunners.isSlow(address, startedAtMs),
       groupOf: (address) => this.runnerGroups.groupOf(address),
     });
-    this.gate = gate;
-    this.paceInquiry = PaceInquiry.create({
+    this.scheduler = scheduler;
+    this.slowRunnerProbe = SlowRunnerProbe.create({
       now,
       emit,
-      lateServices: () => gate.lateServices(),
+      lateServices: () => scheduler.lateServices(),
       slownessOf: options.slownessOf,
-      take: (note) => {
+      onPaceNote: (note) => {
         slowRunners.take(note);
       },
     });
@@ -180,15 +184,15 @@
       emit,
       isServiceNamed: (service) => this.routes?.namesService(service) ?? false,
       onServer: (server) => {
-        gate.setServer(server);
+        scheduler.setServer(server);
         measurements.set("runnersKnown", this.runnerCount);
       },
       onGone: (id) => {
-        gate.removeServer(id);
+        scheduler.removeServer(id);
         measurements.set("runnersKnown", this.runnerCount);
       },
       onEnded: (earlier, later) => {
-        gate.endLife(earlier, later);
+        scheduler.endIncarnation(earlier, later);
         slowRunners.forget(earlier);
         this.suspects.crashes.onCrashed(earlier.id);
       },
@@ -199,12 +203,12 @@
       findings,
       after,
       portState,
-      now: steadyUnixMs,
+      now: monotonicUnixMs,
       emit,
       measurements,
     });
     this.forwarder = Forwarder.create({
-      gate,
+      scheduler,
       codec,
       emit,
       measurements,
@@ -218,11 +222,11 @@
       isLeaving: () => this.isLeaving,
       isClosed: () => this.isClosed,
       serve: async (call, response) => {
-        this.open.add(response);
+        this.openResponses.add(response);
         try {
           await this.forwarder.serve(call, response);
         } finally {
-          whenSent(response, () => this.open.delete(response));
+          onceSent(response, () => this.openResponses.delete(response));
         }
       },
       fail: sendError,
@@ -236,10 +240,13 @@
   }
 
   get isReady(): boolean {
-    return this.routes !== undefined && this.hasRegister && !this.isLeaving;
+    return this.routes !== undefined && this.hasReadRegister && !this.isLeaving;
   }
 
-  /** host:port, with the ports that the system handed out. */
+  /**
+   * host:port, with the port assigned by the system where the settings ask for
+   * port 0.
+   */
   get addresses(): EntryAddresses {
     const [callers, readiness, metrics] = this.listening;
     return {
@@ -249,12 +256,15 @@
     };
   }
 
-  /** Runners that may get work. */
+  /** Number of runners that may receive requests. */
   get runnerCount(): number {
     return this.directory.size;
   }
 
-  /** Takes over what can change while it runs; the rest needs a restart. */
+  /**
+   * Applies the settings that can change at run time; the others need a
+   * restart.
+   */
   reload(settings: DirectSettings): void {
     const changed = changedFields(this.options.settings, settings);
     this.graceSeconds = settings.graceSeconds;
@@ -262,41 +272,52 @@
     this.emit(203, { changed: waiting.join(",") });
   }
 
-  /** Ends what runs, as far as the grace period allows. */
+  /**
+   * Stops accepting requests and waits for running ones within the grace
+   * period.
+   */
   async leave(): Promise<void> {
     if (this.isLeaving) return;
     this.isLeaving = true;
     const graceMs = this.graceSeconds * 1000;
     this.emit(102, { graceMs });
-    for (const response of this.open) announceClose(response);
+    for (const response of this.openResponses) announceClose(response);
     const startedAtMs = performance.now();
     const elapsed = (): number => performance.now() - startedAtMs;
-    while (elapsed() < NOTICE_MS) await pause(DRAIN_POLL_MS, this.stop.signal);
+    while (elapsed() < BALANCER_NOTICE_MS)
+      await pause(DRAIN_POLL_MS, this.stopController.signal);
     this.isClosed = true;
     this.server.close();
-    while (this.open.size > 0 && elapsed() < graceMs * GRACE_SHARE) {
+    while (
+      this.openResponses.size > 0 &&
+      elapsed() < graceMs * DRAIN_SHARE_OF_GRACE
+    ) {
       this.server.closeIdleConnections();
-      await pause(DRAIN_POLL_MS, this.stop.signal);
+      await pause(DRAIN_POLL_MS, this.stopController.signal);
     }
-    this.emit(103, { cutRequests: this.open.size });
+    this.emit(103, { cutRequests: this.openResponses.size });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.stop.abort();
+    this.stopController.abort();
     for (const timer of this.timers) clearTimeout(timer);
-    await this.breakOffOpen();
-    this.paceInquiry[Symbol.dispose]();
+    await this.breakOffOpenResponses();
+    this.slowRunnerProbe[Symbol.dispose]();
     await Promise.all(
       this.listening.map((listening) => listening[Symbol.asyncDispose]()),
     );
-    await this.gate.close();
+    await this.scheduler.close();
     await this.events.close();
   }
 
-  /** Closed with the process, an answer without length would pass for whole. */
-  private async breakOffOpen(): Promise<void> {
-    if (this.open.size === 0) return;
-    for (const response of this.open) breakOff(response);
+  /**
+   * Breaks open responses off visibly. If the process simply closed the
+   * connections, a caller would take a partial response that has neither a
+   * length nor chunks for a complete one.
+   */
+  private async breakOffOpenResponses(): Promise<void> {
+    if (this.openResponses.size === 0) return;
+    for (const response of this.openResponses) breakOff(response);
     await pause(RESET_DELAY_MS, new AbortController().signal);
   }
 
@@ -310,7 +331,7 @@
       const metrics = hostPortOf(settings.metrics);
       this.listening.push(await startMetricsServer(metrics, this.registry));
     }
-    this.follow();
+    this.followTopics();
     this.emit(101, {
       role: "entry",
       incarnation: randomUUID(),
@@ -318,9 +339,9 @@
     });
   }
 
-  /** Not run any more once the entry is closed. */
-  private after(delayMs: number, action: () => void): void {
-    if (this.stop.signal.aborted) return;
+  /** Runs the action after a delay unless the entry has been closed by then. */
+  private schedule(delayMs: number, action: () => void): void {
+    if (this.stopController.signal.aborted) return;
     const timer = setTimeout(() => {
       this.timers.delete(timer);
       action();
@@ -328,7 +349,7 @@
     this.timers.add(timer);
   }
 
-  private follow(): void {
+  private followTopics(): void {
     const { directory, findings, options } = this;
     const topics = EntryTopics.create(
       {
@@ -337,7 +358,7 @@
         findings,
         drainMs: options.settings.drainMs,
       },
-      this.stop.signal,
+      this.stopController.signal,
     );
     topics.followConfiguration(
       options.configuration,
@@ -346,18 +367,18 @@
       },
       {
         onLost: () => {
-          this.paceInquiry.onStoreLost();
+          this.slowRunnerProbe.onStoreLost();
         },
         onRestored: () => {
-          this.paceInquiry.onStoreRestored();
+          this.slowRunnerProbe.onStoreRestored();
         },
       },
     );
     topics.followNotes(PACE_STREAM, options.pace, (records) => {
-      this.onPace(records);
+      this.onPaceNotes(records);
     });
     topics.followNotes(GROUPS_STREAM, options.groups, (records) => {
-      this.onGroups(records);
+      this.onGroupNotes(records);
     });
     topics.followNotes(SUSPECTS_STREAM, options.suspects, (records) => {
       this.suspects.take(records);
@@ -369,7 +390,7 @@
       },
       (records) => {
         directory.apply(this.registerReader.read(records));
-        this.hasRegister = true;
+        this.hasReadRegister = true;
       },
       {
         onReturned: (lastBeforeMs) => {
@@ -395,14 +416,14 @@
         if (this.findings.isNew(finding)) this.emit(202, { reason });
       },
     });
-    if (newest !== undefined) this.take(newest);
+    if (newest !== undefined) this.applyConfiguration(newest);
   }
 
   /**
-   * In one life a process never goes back to an older configuration, also when
-   * the store does.
+   * A running process never returns to an older configuration, even if the
+   * store does.
    */
-  private take(configuration: SiteConfiguration): void {
+  private applyConfiguration(configuration: SiteConfiguration): void {
     const known = this.routes?.version ?? Number.NEGATIVE_INFINITY;
     if (configuration.version <= known) return;
     this.routes = RouteTable.create(configuration);
@@ -416,27 +437,28 @@
     });
   }
 
-  private onPace(records: readonly KeyedRecord[]): void {
+  private onPaceNotes(records: readonly KeyedRecord[]): void {
     const notes = readPaceNotes(records, this.findings);
     for (const note of notes) this.slowRunners.take(note);
   }
 
-  private onGroups(records: readonly KeyedRecord[]): void {
+  private onGroupNotes(records: readonly KeyedRecord[]): void {
     for (const note of readGroupNotes(records, this.findings)) {
       if (!this.runnerGroups.take(note)) continue;
       const { name: group, epoch, addresses } = note;
       this.emit(234, { group, epoch, ranks: addresses.length });
-      this.gate.onGroupFormed(group);
+      this.scheduler.onGroupFormed(group);
     }
     this.measurements.set("runnerGroups", this.runnerGroups.size);
   }
 
   private onRegister(records: readonly KeyedRecord[]): void {
     const changes = this.registerReader.read(records);
-    // Before what isn't there any more is taken for removed.
+    // Unusable records go first: `replace` removes every server that isn't in
+    // its list.
     this.directory.apply(changes.filter(({ isUnusable }) => isUnusable));
     this.directory.replace(changes.flatMap(({ server }) => server ?? []));
-    this.hasRegister = true;
+    this.hasReadRegister = true;
   }
 
   private readinessServer(): ReturnType<typeof createServer> {
@@ -450,19 +472,20 @@
 }
 
 /**
- * Calls back once the answer has left the process or its connection is gone. An
- * answer whose caller reads late waits here after its request is over. Closed
- * like an idle connection's then, part of an answer without length or chunks
- * would pass for all of it; as an open answer it is waited for, and broken off
+ * Calls `onSent` when the response has been sent or its connection is closed. A
+ * response whose caller reads slowly is still being sent after its request has
+ * finished. If its connection were closed as idle, the caller would take a
+ * partial response without a length or chunks for a complete one. Such a
+ * response therefore counts as open: shutdown waits for it and breaks it off
  * visibly if the process ends first.
  */
-function whenSent(response: ServerResponse, onSent: () => void): void {
-  const isOver = response.writableFinished || response.closed;
-  if (isOver || !response.writableEnded) onSent();
+function onceSent(response: ServerResponse, onSent: () => void): void {
+  const isSettled = response.writableFinished || response.closed;
+  if (isSettled || !response.writableEnded) onSent();
   else finished(response, onSent);
 }
 
-/** So that the caller sends nothing more on this connection. */
+/** Tells the caller not to reuse this connection. */
 function announceClose(response: ServerResponse): void {
   if (!response.headersSent) response.setHeader("connection", "close");
 }
--- a/src/direct/event-relay.ts
+++ b/src/direct/event-relay.ts
@@ -1,37 +1,42 @@
 /**
- * Passes a stream on to its caller, event by event and each exactly once, over
- * one or more attempts. The head goes out with the first event, so that until
- * then a failure can still be told by its status; it stays that of the first
- * runner when another one goes on.
+ * Forwards an event stream to its caller, each event exactly once, across one
+ * or more attempts. The head is sent together with the first event, so until
+ * then a failure can still be reported by its status. If another runner
+ * continues the stream, the head of the first one stays.
  */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import { endWithConnection } from "../daemon/entry/answer-framing.js";
-import type { Flow, StreamSink } from "./attempt.js";
-import { answerHeaders } from "./end-to-end-headers.js";
+import type { FlowControl, StreamSink } from "./attempt.js";
+import { endToEndResponseHeaders } from "./end-to-end-headers.js";
 import { EventSplitter } from "./event-splitter.js";
 
 export interface EventRelayOptions {
   readonly response: ServerResponse;
-  /** Last event that the caller has already. */
+  /** Id of the last event that the caller has received before this request. */
   readonly lastEventId: number;
-  /** Called for every event passed on; the pause since the last one, ms. */
+  /**
+   * Called for each forwarded event with the time since the previous one, ms.
+   */
   readonly onEvent: (pauseMs: number) => void;
 }
 
-interface Head {
+interface ResponseHead {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
 }
 
 export class EventRelay {
-  private lastId: number;
-  private lastAtMs = performance.now();
-  private head: Head | undefined;
-  /** The attempt's own end says nothing; only its connection's does. */
-  private isUnmarked = false;
+  private lastForwardedId: number;
+  private previousEventAtMs = performance.now();
+  private head: ResponseHead | undefined;
+  /**
+   * Whether only the close of the connection marks the end of the response, so
+   * that an aborted response looks like a complete one.
+   */
+  private endsWithConnection = false;
 
   private constructor(private readonly options: EventRelayOptions) {
-    this.lastId = options.lastEventId;
+    this.lastForwardedId = options.lastEventId;
   }
 
   static create(options: EventRelayOptions): EventRelay {
@@ -39,39 +44,39 @@
   }
 
   get lastEventId(): number {
-    return this.lastId;
+    return this.lastForwardedId;
   }
 
-  /** Whether the caller has seen the head and an event. */
+  /** Whether the head and at least one event have been sent to the caller. */
   get hasStarted(): boolean {
     return this.options.response.headersSent;
   }
 
-  /** Monotonic time of the last event, or of the start, ms. */
+  /** Monotonic time of the last event, or of the start if there is none, ms. */
   get lastEventAtMs(): number {
-    return this.lastAtMs;
+    return this.previousEventAtMs;
   }
 
-  /** Takes the bytes of one attempt. */
+  /** Creates the sink for the response of one attempt. */
   sink(): StreamSink {
     const splitter = EventSplitter.create();
     return {
       onHead: (status, headers, endMark) => {
-        this.isUnmarked = endMark === "connection";
+        this.endsWithConnection = endMark === "connection";
         if (!this.hasStarted) this.head = { status, headers };
       },
       onData: (chunk, flow) => {
         for (const { bytes, id } of splitter.push(chunk)) {
-          if (id !== undefined && id !== this.lastId + 1) {
-            return `event ${id} after ${this.lastId}`;
+          if (id !== undefined && id !== this.lastForwardedId + 1) {
+            return `event ${id} after ${this.lastForwardedId}`;
           }
-          if (id !== undefined) this.lastId = id;
-          this.pass(bytes, flow);
+          if (id !== undefined) this.lastForwardedId = id;
+          this.forwardEvent(bytes, flow);
         }
         return undefined;
       },
       onEnd: () => {
-        if (splitter.hasRest) return "ended inside an event";
+        if (splitter.hasPartialEvent) return "ended inside an event";
         this.sendHead();
         this.finish();
         return undefined;
@@ -79,14 +84,15 @@
     };
   }
 
-  private pass(bytes: Buffer, flow: Flow): void {
+  private forwardEvent(bytes: Buffer, flow: FlowControl): void {
     const { response, onEvent } = this.options;
     this.sendHead();
     const nowMs = performance.now();
-    onEvent(nowMs - this.lastAtMs);
-    this.lastAtMs = nowMs;
+    onEvent(nowMs - this.previousEventAtMs);
+    this.previousEventAtMs = nowMs;
     if (response.write(bytes)) return;
-    // What a caller hasn't read yet is held up to the attempt's limit.
+    // Until the caller reads on, the attempt buffers the stream up to its
+    // limit.
     flow.pause();
     response.once("drain", () => {
       flow.resume();
@@ -94,12 +100,14 @@
   }
 
   /**
-   * Chunks were promised by an earlier attempt, and this one doesn't vouch for
-   * an end: the caller has every event, and resumes if it misses some.
+   * Ends the response. If an earlier attempt began a chunked response and the
+   * end of this attempt's response isn't marked, the final chunk must not claim
+   * that the stream is complete: the connection is closed instead. The caller
+   * has received every event and resumes if it misses some.
    */
   private finish(): void {
     const { response } = this.options;
-    if (this.isUnmarked && response.chunkedEncoding) response.destroy();
+    if (this.endsWithConnection && response.chunkedEncoding) response.destroy();
     else response.end();
   }
 
@@ -107,7 +115,7 @@
     const { response } = this.options;
     if (response.headersSent || this.head === undefined) return;
     const { status, headers } = this.head;
-    if (this.isUnmarked) endWithConnection(response);
-    response.writeHead(status, answerHeaders(headers));
+    if (this.endsWithConnection) endWithConnection(response);
+    response.writeHead(status, endToEndResponseHeaders(headers));
   }
 }
--- a/src/direct/event-splitter.ts
+++ b/src/direct/event-splitter.ts
@@ -1,9 +1,12 @@
-/** Cuts a `text/event-stream` body into whole events without changing a byte. */
+/**
+ * Splits a `text/event-stream` body into complete events without changing a
+ * byte.
+ */
 
 export interface StreamEvent {
-  /** The event with the blank line that ends it. */
+  /** The event including the blank line that ends it. */
   readonly bytes: Buffer;
-  /** Its id; undefined for comments and events without one. */
+  /** Undefined for comments and events without an id. */
   readonly id: number | undefined;
 }
 
@@ -12,25 +15,27 @@
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
 
   private constructor() {
-    // Made by create.
+    // Instances are created by `create`.
   }
 
   static create(): EventSplitter {
     return new EventSplitter();
   }
 
-  /** Bytes of an event that has not ended yet. */
-  get hasRest(): boolean {
-    return this.rest.length > 0;
+  /** Whether bytes of an incomplete event are buffered. */
+  get hasPartialEvent(): boolean {
+    return this.partialEvent.length > 0;
   }
 
-  /** The events that are whole with this chunk. */
+  /** Returns the events that this chunk completes. */
   push(chunk: Buffer): readonly StreamEvent[] {
     let data =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+      this.partialEvent.length === 0
+        ? chunk
+        : Buffer.concat([this.partialEvent, chunk]);
     const events: StreamEvent[] = [];
     for (;;) {
       const end = endOfEvent(data);
@@ -39,12 +44,12 @@
       events.push({ bytes, id: idOf(bytes) });
       data = data.subarray(end);
     }
-    this.rest = data;
+    this.partialEvent = data;
     return events;
   }
 }
 
-/** Index after the first blank line, -1 when there is none yet. */
+/** Index after the first blank line, or -1 if there is none. */
 function endOfEvent(data: Buffer): number {
   let lineStart = 0;
   for (;;) {
--- a/src/direct/forwarder.ts
+++ b/src/direct/forwarder.ts
@@ -1,7 +1,6 @@
 /**
- * Carries one request to its end: waits for a place, sends it to a runner,
- * and on failure to another one as far as that is allowed. One task for each
- * request.
+ * Forwards one request: waits for admission, sends it to a runner, and on
+ * failure retries at another runner where that is allowed.
  */
 import type { ServerResponse } from "node:http";
 import {
@@ -14,18 +13,18 @@
 import type { SuspectDesk } from "../suspects/suspect-desk.js";
 import { breakOff, endWithConnection } from "../daemon/entry/answer-framing.js";
 import { Attempt } from "./attempt.js";
-import { answerHeaders } from "./end-to-end-headers.js";
+import { endToEndResponseHeaders } from "./end-to-end-headers.js";
 import { EventRelay } from "./event-relay.js";
 import {
-  mayMove,
+  tryMoveStream,
   nextStep,
   type AttemptHistory,
   type NextStep,
 } from "./next-step.js";
-import type { Runner, Verdict } from "./runner-pool.js";
-import type { Admitted, ServiceGate } from "./service-gate.js";
-import { STALL_LOOK_MS, isStalled } from "./stall.js";
-import { SuspectedRun } from "./suspected-run.js";
+import type { Runner, RunnerVerdict } from "./runner-pool.js";
+import type { AdmittedRequest, RequestScheduler } from "./request-scheduler.js";
+import { STALL_CHECK_INTERVAL_MS, isStalled } from "./stall.js";
+import { CrashTracker } from "./crash-tracker.js";
 import type {
   AttemptEnd,
   Call,
@@ -35,12 +34,12 @@
 } from "./types.js";
 
 export interface ForwarderOptions {
-  readonly gate: ServiceGate;
+  readonly scheduler: RequestScheduler;
   readonly codec: HeaderCodec;
   readonly emit: Emit;
   readonly measurements: Measurements;
   readonly suspects: SuspectDesk;
-  /** Answers a request that got none from a runner. */
+  /** Sends an error response for a request that no runner has answered. */
   readonly fail: (
     response: ServerResponse,
     error: ApricotdeckError,
@@ -48,27 +47,33 @@
   ) => void;
 }
 
-/** Largest answer that is held back until it is whole, bytes. */
-const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
+/**
+ * Limit for a buffered response, and for the part of a stream that its caller
+ * hasn't read yet, bytes.
+ */
+const MAXIMUM_BUFFERED_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /**
- * A refused request may come back after this time, ms: runners that were full
- * have had a few answers end, and ranks that stalled are given up by then.
+ * Retry delay for refused callers, ms: by then full runners have completed a
+ * few requests, and stalled ranks have been given up.
  */
-const REFUSED_RETRY_MS = 300;
+const REFUSED_RETRY_AFTER_MS = 300;
 
-/** Another runner than the one that was named answers at the address. */
-const MISDIRECTED = 421;
+/** Status with which a runner answers a request that names another runner. */
+const MISDIRECTED_STATUS = 421;
 
-/** What became of an admitted request. */
-interface Carried {
-  /** A runner's whole answer was passed on. */
+/** Result of an admitted request. */
+interface ForwardResult {
+  /** Whether a complete response of a runner was forwarded. */
   readonly isServed: boolean;
-  /** Still held at the gate; undefined when its wait for one was in vain. */
-  readonly place: Admitted | undefined;
+  /**
+   * The admission that still has to be released; undefined if the request was
+   * admitted anew without success.
+   */
+  readonly heldAdmission: AdmittedRequest | undefined;
 }
 
-const NOTHING_TRIED: ReadonlySet<Runner> = new Set();
+const NO_RUNNERS: ReadonlySet<Runner> = new Set();
 
 export class Forwarder {
   private constructor(private readonly options: ForwarderOptions) {}
@@ -78,23 +83,23 @@
   }
 
   async serve(call: Call, response: ServerResponse): Promise<void> {
-    await Forwarding.create(this.options, call, response).run();
+    await RequestForwarding.create(this.options, call, response).run();
   }
 }
 
-class Forwarding {
-  /** Lives: one that has started again is another runner. */
-  private readonly tried = new Set<Runner>();
-  private sent = 0;
-  private unsent = 0;
+class RequestForwarding {
+  /** A restarted runner is a new object, so it may be tried again. */
+  private readonly triedRunners = new Set<Runner>();
+  private sentAttempts = 0;
+  private unsentAttempts = 0;
   private mayHaveRun = false;
   private waitedMs = 0;
   private outcome = "broken-off";
   private attempt: Attempt | undefined;
-  /** Where the attempt runs. */
-  private place: Admitted | undefined;
-  private givenUp: GiveUpReason | undefined;
-  private readonly suspected: SuspectedRun;
+  /** Admission under which the current attempt runs. */
+  private currentAdmission: AdmittedRequest | undefined;
+  private giveUpReason: GiveUpReason | undefined;
+  private readonly crashTracker: CrashTracker;
   private readonly relay: EventRelay | undefined;
 
   private constructor(
@@ -103,26 +108,26 @@
     private readonly response: ServerResponse,
   ) {
     const { route, fields } = call;
-    this.suspected = SuspectedRun.create(options.suspects, call);
+    this.crashTracker = CrashTracker.create(options.suspects, call);
     if (route.kind !== "stream") return;
     let isFirst = true;
     this.relay = EventRelay.create({
       response,
       lastEventId: fields.lastEventId,
       onEvent: (pauseMs) => {
-        this.suspected.onEvent();
-        const { measurements, gate } = options;
-        const { place } = this;
-        if (place === undefined) return;
+        this.crashTracker.onStreamEvent();
+        const { measurements, scheduler } = options;
+        const { currentAdmission } = this;
+        if (currentAdmission === undefined) return;
         if (isFirst) {
-          // The time to the first event is no pause between two.
+          // The delay of the first event is no pause between two events.
           isFirst = false;
-          gate.onAccepted(place);
+          scheduler.onAccepted(currentAdmission);
           measurements.observe("firstEventDelay", this.ageMs() / 1000);
           return;
         }
         measurements.observe("eventPause", pauseMs / 1000);
-        gate.onPause(place, pauseMs, route.pauseObjectiveMs);
+        scheduler.onPause(currentAdmission, pauseMs, route.pauseObjectiveMs);
       },
     });
   }
@@ -131,8 +136,8 @@
     options: ForwarderOptions,
     call: Call,
     response: ServerResponse,
-  ): Forwarding {
-    return new Forwarding(options, call, response);
+  ): RequestForwarding {
+    return new RequestForwarding(options, call, response);
   }
 
   async run(): Promise<void> {
@@ -145,7 +150,7 @@
       () => {
         this.giveUp("overdue");
       },
-      Math.max(1, call.dueAtMs - performance.now()),
+      Math.max(1, call.deadlineAtMs - performance.now()),
     );
     try {
       await this.forward();
@@ -164,74 +169,84 @@
 
   private async forward(): Promise<void> {
     const { call, options } = this;
-    if (this.suspected.isWithheld) {
+    if (this.crashTracker.isWithheld) {
       this.failOrBreakOff(1220);
       return;
     }
-    const entered = await options.gate.enter(call);
+    const entered = await options.scheduler.admit(call);
     await entered.caseOf({
       Left: ({ error, retryAfterMs }) => {
         this.refuse(error, retryAfterMs);
         return Promise.resolve();
       },
-      Right: (admitted) => this.carry(admitted),
+      Right: (admitted) => this.runAdmitted(admitted),
     });
   }
 
-  private async carry(admitted: Admitted): Promise<void> {
+  private async runAdmitted(admitted: AdmittedRequest): Promise<void> {
     const startedAtMs = performance.now();
     this.waitedMs = startedAtMs - this.call.arrivedAtMs;
-    const { isServed, place } = await this.attempts(admitted);
-    if (place === undefined) return;
+    const { isServed, heldAdmission } = await this.runAttempts(admitted);
+    if (heldAdmission === undefined) return;
     const durationMs = performance.now() - startedAtMs;
-    this.options.gate.leave(place, isServed ? durationMs : undefined);
+    this.options.scheduler.finish(
+      heldAdmission,
+      isServed ? durationMs : undefined,
+    );
   }
 
-  private async attempts(first: Admitted): Promise<Carried> {
-    const { gate } = this.options;
+  private async runAttempts(first: AdmittedRequest): Promise<ForwardResult> {
+    const { scheduler } = this.options;
     let admitted = first;
     for (;;) {
-      // It may have crashed another runner while it waited here.
-      if (this.suspected.isWithheld) {
-        gate.release(admitted, "none");
+      // The request may have crashed another runner while it waited.
+      if (this.crashTracker.isWithheld) {
+        scheduler.release(admitted, "none");
         this.failOrBreakOff(1220);
-        return { isServed: false, place: admitted };
+        return { isServed: false, heldAdmission: admitted };
       }
-      const end = await this.attemptAt(admitted);
-      gate.release(admitted, verdictOf(end));
-      await this.suspected.onEnd(admitted.runner.server, end);
-      // A failure of its own is an answer too: the runner did take the request.
-      if (end.kind === "answered") gate.onAccepted(admitted);
+      const end = await this.runAttempt(admitted);
+      scheduler.release(admitted, verdictOf(end));
+      await this.crashTracker.onAttemptEnd(admitted.runner.server, end);
+      // An error response also shows that the runner accepted the request.
+      if (end.kind === "answered") scheduler.onAccepted(admitted);
       const step = this.stepAfter(end);
-      this.note(admitted, end, step);
+      this.logAttemptEnd(admitted, end, step);
       if (step.kind !== "repeat") {
         const isServed = this.conclude(admitted, end, step);
-        return { isServed, place: admitted };
+        return { isServed, heldAdmission: admitted };
       }
-      if (end.kind === "not-run" && gate.isOut(this.call.service)) {
-        const again = await this.waitAgain(admitted);
-        if (again === undefined) return { isServed: false, place: undefined };
+      if (
+        end.kind === "not-run" &&
+        scheduler.isUnavailable(this.call.service)
+      ) {
+        const again = await this.readmit(admitted);
+        if (again === undefined)
+          return { isServed: false, heldAdmission: undefined };
         admitted = again;
         continue;
       }
-      const next = this.nextPlace(admitted, end);
+      const next = this.reassign(admitted, end);
       if (next === undefined) {
-        this.concludeUnplaced(admitted, end);
-        return { isServed: false, place: admitted };
+        this.concludeWithoutRunner(admitted, end);
+        return { isServed: false, heldAdmission: admitted };
       }
       admitted = next;
     }
   }
 
   /**
-   * The whole service refuses: another runner would as well, and the last
-   * attempt would be gone. Undefined when the wait was in vain.
+   * Queues the request again while all runners of the service refuse: sent to
+   * another runner, it would be refused again and lose its last attempt.
+   * Returns undefined if it isn't admitted.
    */
-  private async waitAgain(admitted: Admitted): Promise<Admitted | undefined> {
-    const { gate } = this.options;
-    gate.leave(admitted, undefined);
-    const entered = await gate.enter(this.call);
-    return entered.caseOf<Admitted | undefined>({
+  private async readmit(
+    admitted: AdmittedRequest,
+  ): Promise<AdmittedRequest | undefined> {
+    const { scheduler } = this.options;
+    scheduler.finish(admitted, undefined);
+    const entered = await scheduler.admit(this.call);
+    return entered.caseOf<AdmittedRequest | undefined>({
       Left: ({ error, retryAfterMs }) => {
         this.refuse(error, retryAfterMs);
         return undefined;
@@ -240,28 +255,34 @@
     });
   }
 
-  /** A stream that left a slow runner goes back rather than break. */
-  private nextPlace(admitted: Admitted, end: AttemptEnd): Admitted | undefined {
-    const { gate } = this.options;
-    const next = gate.moveOn(admitted, this.tried);
+  /**
+   * Selects another runner for the request. A stream that was moved away from a
+   * slow runner may return to one already tried rather than fail.
+   */
+  private reassign(
+    admitted: AdmittedRequest,
+    end: AttemptEnd,
+  ): AdmittedRequest | undefined {
+    const { scheduler } = this.options;
+    const next = scheduler.reassign(admitted, this.triedRunners);
     const isMoved = end.kind === "given-up" && end.reason === "slow";
     if (next !== undefined || !isMoved) return next;
-    return gate.moveOn(admitted, NOTHING_TRIED);
+    return scheduler.reassign(admitted, NO_RUNNERS);
   }
 
-  private async attemptAt(admitted: Admitted): Promise<AttemptEnd> {
+  private async runAttempt(admitted: AdmittedRequest): Promise<AttemptEnd> {
     const { call, options, relay } = this;
     const { runner } = admitted;
-    this.tried.add(runner);
-    this.place = admitted;
-    if (this.givenUp !== undefined) {
-      return { kind: "given-up", wasSent: false, reason: this.givenUp };
+    this.triedRunners.add(runner);
+    this.currentAdmission = admitted;
+    if (this.giveUpReason !== undefined) {
+      return { kind: "given-up", wasSent: false, reason: this.giveUpReason };
     }
     const resumeAfter = relay === undefined ? undefined : relay.lastEventId;
     const headers = options.codec.forward(call.headers, {
       runner: runner.server.id,
       account: call.account,
-      leftMs: Math.max(1, Math.floor(call.dueAtMs - performance.now())),
+      leftMs: Math.max(1, Math.floor(call.deadlineAtMs - performance.now())),
       resumeAfter: resumeAfter === 0 ? undefined : resumeAfter,
     });
     const attempt = Attempt.create({
@@ -275,39 +296,42 @@
       attemptId: call.fields.attemptId,
       codec: options.codec,
       sink: relay?.sink(),
-      maximumBytes: MAXIMUM_ANSWER_BYTES,
+      maximumBufferedBytes: MAXIMUM_BUFFERED_RESPONSE_BYTES,
     });
     this.attempt = attempt;
-    this.suspected.onSent();
-    const end = await this.watch(attempt, admitted);
+    this.crashTracker.onAttemptSent();
+    const end = await this.runMonitored(attempt, admitted);
     this.attempt = undefined;
     if (end.kind === "given-up" && end.reason === "stalled") {
-      options.gate.onSilent(admitted);
+      options.scheduler.onConnectionSilent(admitted);
     }
     options.measurements.count("attemptsEnded", { end: end.kind });
-    if (wasSent(end)) this.sent += 1;
-    else this.unsent += 1;
+    if (wasSent(end)) this.sentAttempts += 1;
+    else this.unsentAttempts += 1;
     this.mayHaveRun ||= wasSent(end) && end.kind !== "not-run";
     return end;
   }
 
-  /** Ends an attempt whose stream has fallen silent or sits at a slow runner. */
-  private async watch(
+  /**
+   * Runs the attempt and gives it up if its stream stalls or should move away
+   * from a slow runner.
+   */
+  private async runMonitored(
     attempt: Attempt,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
   ): Promise<AttemptEnd> {
     const { relay, call, options } = this;
     if (relay === undefined) return attempt.run();
     const startedAtMs = performance.now();
     const timer = setInterval(() => {
       const lastMs = Math.max(relay.lastEventAtMs, startedAtMs);
-      const serviceMs = options.gate.lastEventAtMs(call.service);
+      const serviceMs = options.scheduler.lastEventAtMs(call.service);
       if (isStalled(performance.now(), lastMs, serviceMs)) {
         attempt.giveUp("stalled");
       } else if (this.shouldMove(admitted)) {
         attempt.giveUp("slow");
       }
-    }, STALL_LOOK_MS);
+    }, STALL_CHECK_INTERVAL_MS);
     try {
       return await attempt.run();
     } finally {
@@ -316,13 +340,14 @@
   }
 
   /**
-   * A slow rank holds its whole group back for as long as it has work of its
-   * own, five seconds or more for the streams it had; so they move at once.
+   * Streams leave a slow rank at once, because it delays its whole group for as
+   * long as it has requests of its own: five seconds or more if it finished the
+   * streams it had.
    */
-  private shouldMove(admitted: Admitted): boolean {
-    const { gate } = this.options;
-    if (!gate.isBetterElsewhere(admitted, this.tried)) return false;
-    return mayMove(this.history());
+  private shouldMove(admitted: AdmittedRequest): boolean {
+    const { scheduler } = this.options;
+    if (!scheduler.hasFasterRunner(admitted, this.triedRunners)) return false;
+    return tryMoveStream(this.history());
   }
 
   private stepAfter(end: AttemptEnd): NextStep {
@@ -330,28 +355,28 @@
   }
 
   private history(): AttemptHistory {
-    const { route, dueAtMs, service } = this.call;
+    const { route, deadlineAtMs, service } = this.call;
     return {
       route,
-      sent: this.sent,
-      unsent: this.unsent,
-      leftMs: dueAtMs - performance.now(),
-      hasStarted: this.relay?.hasStarted ?? false,
+      sentAttempts: this.sentAttempts,
+      unsentAttempts: this.unsentAttempts,
+      remainingMs: deadlineAtMs - performance.now(),
+      hasStreamStarted: this.relay?.hasStarted ?? false,
       mayHaveRun: this.mayHaveRun,
-      mayRepeat: () =>
-        !this.suspected.isWithheld &&
-        this.options.gate.retriesOf(service).spend(1) !== undefined,
+      tryTakeRetry: () =>
+        !this.crashTracker.isWithheld &&
+        this.options.scheduler.retriesOf(service).spend(1) !== undefined,
     };
   }
 
   private conclude(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     end: AttemptEnd,
     step: NextStep,
   ): boolean {
     switch (step.kind) {
       case "deliver":
-        this.noteAnswered(admitted, end);
+        this.logAnswered(admitted, end);
         this.deliver(end);
         return true;
       case "fail":
@@ -365,34 +390,40 @@
     }
   }
 
-  /** No runner is left to repeat at: what the last one said is the answer. */
-  private concludeUnplaced(admitted: Admitted, end: AttemptEnd): void {
+  /**
+   * No runner is left for a retry: the last runner's response, if any, is
+   * forwarded.
+   */
+  private concludeWithoutRunner(
+    admitted: AdmittedRequest,
+    end: AttemptEnd,
+  ): void {
     if (end.kind === "answered" && this.relay?.hasStarted !== true) {
-      this.noteAnswered(admitted, end);
+      this.logAnswered(admitted, end);
       this.deliver(end);
       return;
     }
     this.failOrBreakOff(1214);
   }
 
-  /** `whenNotRun`: said only when no runner may have run it. */
-  private failOrBreakOff(whenNotRun: ErrorNumber): void {
+  /** `errorIfNotRun`: the error if no runner can have run the request. */
+  private failOrBreakOff(errorIfNotRun: ErrorNumber): void {
     if (this.relay?.hasStarted === true) {
       breakOff(this.response);
       return;
     }
-    const error = this.mayHaveRun ? 1211 : whenNotRun;
+    const error = this.mayHaveRun ? 1211 : errorIfNotRun;
     this.refuse(failure(error), retryAfterOf(error));
   }
 
   private deliver(end: AttemptEnd): void {
-    this.options.gate.retriesOf(this.call.service).onSuccess();
+    this.options.scheduler.retriesOf(this.call.service).onSuccess();
     if (end.kind !== "answered" || this.response.destroyed) return;
     const { status, headers, body, endMark } = end.answer;
     const { response } = this;
     if (endMark === "connection") endWithConnection(response);
     else response.setHeader("content-length", body.length);
-    response.writeHead(status, answerHeaders(headers));
+    response.writeHead(status, endToEndResponseHeaders(headers));
     response.end(body);
   }
 
@@ -410,7 +441,11 @@
     fail(this.response, error, retryAfterMs);
   }
 
-  private note(admitted: Admitted, end: AttemptEnd, step: NextStep): void {
+  private logAttemptEnd(
+    admitted: AdmittedRequest,
+    end: AttemptEnd,
+    step: NextStep,
+  ): void {
     if (step.kind === "deliver") return;
     this.options.emit(215, {
       request: this.call.id,
@@ -418,11 +453,11 @@
       end: end.kind,
       reason: reasonOf(end),
       next: step.kind,
-      attempt: this.sent + this.unsent,
+      attempt: this.sentAttempts + this.unsentAttempts,
     });
   }
 
-  private noteAnswered({ runner }: Admitted, end: AttemptEnd): void {
+  private logAnswered({ runner }: AdmittedRequest, end: AttemptEnd): void {
     const { id, route, version } = this.call;
     this.outcome = "answered";
     const endMark = endMarkOf(end);
@@ -434,22 +469,22 @@
       status: end.kind === "answered" ? end.answer.status : 200,
       endMark,
       version,
-      attempts: this.sent + this.unsent,
+      attempts: this.sentAttempts + this.unsentAttempts,
       waitedMs: Math.round(this.waitedMs),
       totalMs: Math.round(this.ageMs()),
     });
   }
 
   private giveUp(reason: GiveUpReason): void {
-    if (this.givenUp !== undefined) return;
-    this.givenUp = reason;
+    if (this.giveUpReason !== undefined) return;
+    this.giveUpReason = reason;
     if (this.attempt !== undefined) {
       this.attempt.giveUp(reason);
       return;
     }
-    this.options.gate.cancel(this.call.id, {
+    this.options.scheduler.cancel(this.call.id, {
       error: failure(reason === "overdue" ? 1503 : 1218),
-      retryAfterMs: REFUSED_RETRY_MS,
+      retryAfterMs: REFUSED_RETRY_AFTER_MS,
     });
   }
 }
@@ -459,14 +494,14 @@
   return end.kind !== "unsent";
 }
 
-function verdictOf(end: AttemptEnd): Verdict {
+function verdictOf(end: AttemptEnd): RunnerVerdict {
   switch (end.kind) {
     case "streamed":
       return "served";
     case "answered":
       return end.answer.status < 500 ? "served" : "none";
     case "not-run":
-      return end.status === MISDIRECTED ? "replaced" : "full";
+      return end.status === MISDIRECTED_STATUS ? "replaced" : "full";
     case "unsent":
     case "broken":
       return "failed";
@@ -475,7 +510,7 @@
   }
 }
 
-/** Of an attempt that is passed on. */
+/** End mark of the response that is forwarded. */
 function endMarkOf(end: AttemptEnd): EndMark {
   if (end.kind === "answered") return end.answer.endMark;
   return end.kind === "streamed" ? end.endMark : "connection";
@@ -497,5 +532,5 @@
 }
 
 function retryAfterOf(error: ErrorNumber): number {
-  return error === 1214 ? REFUSED_RETRY_MS : 0;
+  return error === 1214 ? REFUSED_RETRY_AFTER_MS : 0;
 }
--- a/src/direct/group-choice.ts
+++ b/src/direct/group-choice.ts
@@ -1,55 +1,58 @@
 /**
- * The order in which groups of a service are offered a request.
+ * Order in which the groups of a service are considered for a request.
  *
- * Load: one group of several is slow, opening or broken while the others are
- * well. Each takes the part of the load that it can serve within the objective,
- * and callers wait or are refused only for what is missing in all of them.
+ * Used when one group of several is slow, starting or failing while the others
+ * are healthy. Each group receives the share of the load that it can serve
+ * within the objective, and callers wait or are refused only when the capacity
+ * of all groups is exhausted.
  */
 
-/** One group, as far as this entry can tell. */
+/** Load of one group as seen by this entry. */
 export interface GroupLoad {
   readonly name: string;
-  /** Requests of this entry that run there. */
+  /** Running requests of this entry in the group. */
   readonly running: number;
-  /** Requests of this entry that may run there at once. */
-  readonly room: number;
-  /** All of its runners refuse: it gets nothing but trials. */
-  readonly isOut: boolean;
+  /** Maximum number of concurrent requests of this entry in the group. */
+  readonly limit: number;
+  /** All runners of the group refuse; it only receives trial requests. */
+  readonly isRefusing: boolean;
 }
 
-function shareTaken({ running, room }: GroupLoad): number {
-  return running / Math.max(1, room);
+function utilizationOf({ running, limit }: GroupLoad): number {
+  return running / Math.max(1, limit);
 }
 
 /**
- * For a new request: groups that have room, the least taken first. Broken ones
- * come first, since they get no more than a trial now and then.
+ * Groups with free capacity for a new request, the least utilized first.
+ * Refusing groups come first, because their circuit breaker admits only an
+ * occasional trial.
  */
-export function groupsToStartIn(
+export function orderForNewRequest(
   groups: readonly GroupLoad[],
 ): readonly GroupLoad[] {
   return groups
-    .filter(({ running, room }) => running < room)
+    .filter(({ running, limit }) => running < limit)
     .sort(
       (one, other) =>
-        Number(other.isOut) - Number(one.isOut) ||
-        shareTaken(one) - shareTaken(other),
+        Number(other.isRefusing) - Number(one.isRefusing) ||
+        utilizationOf(one) - utilizationOf(other),
     );
 }
 
 /**
- * For a request that has lost its runner and keeps its place: broken groups come
- * last, behind those in which it was tried before, since a group refuses as one.
+ * Groups for a request that has lost its runner and is still admitted. Refusing
+ * groups come last, after those already tried, because a group refuses as a
+ * whole.
  */
-export function groupsToMoveTo(
+export function orderForMovedRequest(
   groups: readonly GroupLoad[],
   tried: ReadonlySet<string>,
 ): readonly GroupLoad[] {
   const wasTried = ({ name }: GroupLoad): number => Number(tried.has(name));
   return groups.toSorted(
     (one, other) =>
-      Number(one.isOut) - Number(other.isOut) ||
+      Number(one.isRefusing) - Number(other.isRefusing) ||
       wasTried(one) - wasTried(other) ||
-      shareTaken(one) - shareTaken(other),
+      utilizationOf(one) - utilizationOf(other),
   );
 }
--- a/src/direct/next-step.ts
+++ b/src/direct/next-step.ts
@@ -1,108 +1,123 @@
 /**
- * What follows on the end of an attempt. A request that may not be repeated is
- * sent a second time only when the runner itself says that it has not run, or
- * when it never left this process.
+ * Decides what to do when an attempt has ended: deliver the response, retry, or
+ * fail. A request that isn't repeatable is sent a second time only if the
+ * runner states that it hasn't run the request, or if the request never left
+ * this process.
  */
 import type { ErrorNumber } from "../internal.js";
 import type { Route } from "../routing/types.js";
 import type { AttemptEnd } from "./types.js";
 
 /**
- * Time that a further attempt needs at least, ms: a round trip between data
- * centres and the shortest piece of work. With less it only takes a runner's
- * place for an answer that nobody waits for.
+ * Minimum remaining time for a retry, ms: a round trip between data centres and
+ * the shortest run. With less time, a retry only occupies a slot for a response
+ * that arrives too late.
  */
-export const LEAST_TIME_LEFT_MS = 30;
+export const MINIMUM_RETRY_TIME_MS = 30;
 
 export interface AttemptHistory {
   readonly route: Pick<Route, "kind" | "isResumable" | "maximumAttempts">;
-  /** Attempts that reached a runner, the ended one included. */
-  readonly sent: number;
-  /** Attempts that didn't: no connection. */
-  readonly unsent: number;
-  readonly leftMs: number;
-  /** Whether events of the stream have reached the caller. */
-  readonly hasStarted: boolean;
-  /** Whether a runner may have run it, in this attempt or an earlier one. */
+  /** Attempts that were sent to a runner, including the one that has ended. */
+  readonly sentAttempts: number;
+  /** Attempts that failed to connect. */
+  readonly unsentAttempts: number;
+  readonly remainingMs: number;
+  /** Whether events of the stream have been sent to the caller. */
+  readonly hasStreamStarted: boolean;
+  /** Whether a runner may have run the request in any attempt. */
   readonly mayHaveRun: boolean;
-  /** Takes one repeat out of the allowance. */
-  readonly mayRepeat: () => boolean;
+  /** Takes one retry from the retry budget; false if there is none. */
+  readonly tryTakeRetry: () => boolean;
 }
 
 export type NextStep =
   | { readonly kind: "deliver" }
   | { readonly kind: "repeat" }
   | { readonly kind: "fail"; readonly error: ErrorNumber }
-  /** The answer has begun: all that is left is to end it visibly broken. */
+  /**
+   * The response has begun: it can only be aborted in a way that the caller
+   * notices.
+   */
   | { readonly kind: "break-off" };
 
-/** Failed connections that one request survives. */
-const MOST_UNSENT = 3;
-const FIRST_SERVER_ERROR = 500;
+/** Failed connection attempts after which a request may still be retried. */
+const MAXIMUM_UNSENT_RETRIES = 3;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 export function nextStep(end: AttemptEnd, history: AttemptHistory): NextStep {
   switch (end.kind) {
     case "streamed":
       return { kind: "deliver" };
     case "answered":
-      return afterAnswer(end.answer.status, history);
+      return stepAfterResponse(end.answer.status, history);
     case "not-run":
     case "unsent":
-      return repeatOr(history);
+      return repeatOrFail(history);
     case "broken":
-      return mayRunAgain(history) ? repeatOr(history) : failOrBreak(history);
+      return isRepeatable(history)
+        ? repeatOrFail(history)
+        : failOrBreakOff(history);
     case "given-up":
-      // Decided, and paid for, before it was given up.
+      // The retry was taken from the budget by `tryMoveStream`.
       if (end.reason === "slow") return { kind: "repeat" };
-      return end.reason === "stalled" && mayRunAgain(history)
-        ? repeatOr(history, 1212)
-        : failOrBreak(history, 1212);
+      return end.reason === "stalled" && isRepeatable(history)
+        ? repeatOrFail(history, 1212)
+        : failOrBreakOff(history, 1212);
   }
 }
 
 /**
- * Whether a running attempt may be given up so that another runner goes on.
- * `history` doesn't count it yet. Takes the repeat out of the allowance.
+ * Returns whether a running attempt may be given up so that another runner
+ * continues the stream, and takes the retry from the budget. `history` doesn't
+ * include the running attempt.
  */
-export function mayMove(history: AttemptHistory): boolean {
-  if (!mayRunAgain(history)) return false;
-  return canRepeat({ ...history, sent: history.sent + 1 });
+export function tryMoveStream(history: AttemptHistory): boolean {
+  if (!isRepeatable(history)) return false;
+  return tryRepeat({ ...history, sentAttempts: history.sentAttempts + 1 });
 }
 
 /**
- * Another runner may do better where the request may run again; otherwise the
- * runner's own failure is the answer. Behind events that the caller has already
- * there is no place for one.
+ * A server error is retried at another runner if the request is repeatable;
+ * otherwise it is forwarded. Once events have been sent, an error response
+ * can't be forwarded.
  */
-function afterAnswer(status: number, history: AttemptHistory): NextStep {
-  const isFailure = status >= FIRST_SERVER_ERROR;
-  if (isFailure && mayRunAgain(history) && canRepeat(history)) {
+function stepAfterResponse(status: number, history: AttemptHistory): NextStep {
+  const isFailure = status >= FIRST_SERVER_ERROR_STATUS;
+  if (isFailure && isRepeatable(history) && tryRepeat(history)) {
     return { kind: "repeat" };
   }
-  return { kind: history.hasStarted ? "break-off" : "deliver" };
+  return { kind: history.hasStreamStarted ? "break-off" : "deliver" };
 }
 
-function mayRunAgain({ route }: AttemptHistory): boolean {
+function isRepeatable({ route }: AttemptHistory): boolean {
   return route.kind === "idempotent" || route.isResumable;
 }
 
-function repeatOr(history: AttemptHistory, whenRun?: ErrorNumber): NextStep {
-  return canRepeat(history)
+function repeatOrFail(
+  history: AttemptHistory,
+  errorIfRun?: ErrorNumber,
+): NextStep {
+  return tryRepeat(history)
     ? { kind: "repeat" }
-    : failOrBreak(history, whenRun);
+    : failOrBreakOff(history, errorIfRun);
 }
 
-function canRepeat(history: AttemptHistory): boolean {
-  const { route, sent, unsent, leftMs, mayRepeat } = history;
-  if (sent >= route.maximumAttempts || unsent > MOST_UNSENT) return false;
-  return leftMs >= LEAST_TIME_LEFT_MS && mayRepeat();
+function tryRepeat(history: AttemptHistory): boolean {
+  const { route, sentAttempts, unsentAttempts, remainingMs, tryTakeRetry } =
+    history;
+  if (
+    sentAttempts >= route.maximumAttempts ||
+    unsentAttempts > MAXIMUM_UNSENT_RETRIES
+  )
+    return false;
+  return remainingMs >= MINIMUM_RETRY_TIME_MS && tryTakeRetry();
 }
 
-/** "Not run" is said only when no runner may have run it. */
-function failOrBreak(
-  { hasStarted, mayHaveRun }: AttemptHistory,
-  whenRun: ErrorNumber = 1211,
+/** Reports that the request wasn't run only if no runner can have run it. */
+function failOrBreakOff(
+  { hasStreamStarted, mayHaveRun }: AttemptHistory,
+  errorIfRun: ErrorNumber = 1211,
 ): NextStep {
-  if (hasStarted) return { kind: "break-off" };
-  return { kind: "fail", error: mayHaveRun ? whenRun : 1214 };
+  if (hasStreamStarted) return { kind: "break-off" };
+  return { kind: "fail", error: mayHaveRun ? errorIfRun : 1214 };
 }
--- a/src/direct/pace-limit.ts
+++ b/src/direct/pace-limit.ts
@@ -1,110 +1,120 @@
 /**
- * How many requests one entry runs at once at a group, found from the pace of
- * its streams. All ranks of a group share one step, and it grows with every
- * request that runs: past a point all streams of the group are late together.
- * Each entry sees that step as the pauses of its own streams, so entries find
- * a common limit without telling each other anything.
+ * Adaptive limit for the concurrent requests of one entry in a group. All ranks
+ * of a group share one step, whose duration grows with every running request:
+ * beyond some load all streams of the group are late. Each entry measures the
+ * step as the pauses between events of its own streams, so entries converge on
+ * a common limit without communicating.
  *
- * Additive increase below a target, multiplicative decrease above it, at most
- * once in the time that a change needs to show. Nothing is at rest between the
- * two: the larger limits give up more and all gain alike, so that the shares of
- * entries even out. With a range in which limits stay, or with increases in
- * proportion, an entry that once has little keeps little, and callers of its
- * data centre are refused several times as often as the others.
+ * The limit is controlled by additive increase below a target pause and
+ * multiplicative decrease above it, at most once in the time that a change
+ * takes to show. There is no dead band between the two: larger limits lose more
+ * and all limits gain the same, so the shares of the entries converge. With a
+ * dead band, or with a proportional increase, an entry whose share is small
+ * keeps it, and callers of its data centre are refused several times as often
+ * as the others.
  */
 import type { Emit, Now } from "../internal.js";
 
-export interface PaceLimitInputs {
+export interface ConcurrencyLimitInputs {
   readonly now: Now;
   readonly emit: Emit;
-  /** Group, or service without groups. */
+  /** Name of the group, or of a service without groups. */
   readonly group: string;
 }
 
-/** Part of the pause objective at which the mean pause is kept. */
-const TARGET_SHARE = 0.85;
-/** Above this part of it many streams are late, because pauses spread. */
-const LATE_SHARE = 0.9;
-/** Share of a new pause in the mean. */
-const PAUSE_SHARE = 0.05;
-/** What is left of the limit above the target, and above the late share. */
-const DECREASE = 0.95;
-const LATE_DECREASE = 0.85;
-/** Requests by which the limit rises in one interval. */
-const INCREASE = 1;
+/** Target of the mean pause, as a share of the pause objective. */
+const TARGET_PAUSE_SHARE = 0.85;
 /**
- * Factor by which it rises until the target is first passed. One request at a
- * time, an entry would refuse callers for seconds after its start.
+ * Share of the pause objective above which many streams are late, because
+ * pauses vary around their mean.
  */
-const SEARCH_GROWTH = 1.5;
-/** A change of the limit shows in the pauses after about this time, ms. */
-const INTERVAL_MS = 250;
+const LATE_PAUSE_SHARE = 0.9;
+/** Weight of a new pause in the exponential moving average. */
+const PAUSE_SMOOTHING_FACTOR = 0.05;
 /**
- * The first limit: an entry doesn't know how many others there are. With less
- * it can't even tell that the pace is good.
+ * Factors by which the limit is lowered above the target, and above the late
+ * share.
  */
-const LEAST_LIMIT = 4;
+const DECREASE_FACTOR = 0.95;
+const LATE_DECREASE_FACTOR = 0.85;
+/** Additive increase per interval, requests. */
+const INCREASE_REQUESTS = 1;
+/**
+ * Growth per interval until the target is first exceeded. With the additive
+ * increase alone, an entry would refuse callers for seconds after its start.
+ */
+const SLOW_START_FACTOR = 1.5;
+/** Time after which a change of the limit shows in the pauses, ms. */
+const ADJUSTMENT_INTERVAL_MS = 250;
+/**
+ * Initial and minimum limit. An entry doesn't know how many other entries there
+ * are; with fewer requests it can't measure the pauses well enough to raise the
+ * limit.
+ */
+const MINIMUM_LIMIT = 4;
 
-export class PaceLimit {
-  /** Not a whole number: small decreases have to count. */
-  private limit = LEAST_LIMIT;
-  private isSearching = true;
+export class ConcurrencyLimit {
+  /** Fractional, so that small decreases accumulate. */
+  private limit = MINIMUM_LIMIT;
+  private isSlowStarting = true;
   private meanPauseMs = 0;
   private objectiveMs = Number.POSITIVE_INFINITY;
-  private eventAtMs = Number.NEGATIVE_INFINITY;
-  private changedAtMs = 0;
+  private latestEventAtMs = Number.NEGATIVE_INFINITY;
+  private adjustedAtMs = 0;
 
-  private constructor(private readonly inputs: PaceLimitInputs) {}
+  private constructor(private readonly inputs: ConcurrencyLimitInputs) {}
 
-  static create(inputs: PaceLimitInputs): PaceLimit {
-    return new PaceLimit(inputs);
+  static create(inputs: ConcurrencyLimitInputs): ConcurrencyLimit {
+    return new ConcurrencyLimit(inputs);
   }
 
-  /** Requests that may run at once. */
-  roomFor(slots: number): number {
+  /** Number of requests that may run concurrently. */
+  limitFor(slots: number): number {
     return Math.min(Math.floor(this.limit), Math.max(slots, 1));
   }
 
-  /** Whether the mean pause has come close to the objective or passed it. */
+  /** Whether the mean pause is close to the objective or above it. */
   get isLate(): boolean {
-    return this.meanPauseMs > this.objectiveMs * LATE_SHARE;
+    return this.meanPauseMs > this.objectiveMs * LATE_PAUSE_SHARE;
   }
 
-  /** Monotonic time of the last event of any of the streams, ms. */
+  /** Monotonic time of the last event of any stream, ms. */
   get lastEventAtMs(): number {
-    return this.eventAtMs;
+    return this.latestEventAtMs;
   }
 
   /**
-   * A stream's event came `pauseMs` after the one before. `countRunning` is called
-   * only where a decision is due, not for each event.
+   * Records that a stream's event came `pauseMs` after the previous one.
+   * `countRunning` is called only when the limit is due for adjustment, not for
+   * each event.
    */
   onPause(
     pauseMs: number,
     objectiveMs: number,
     countRunning: () => number,
   ): void {
-    const change = PAUSE_SHARE * (pauseMs - this.meanPauseMs);
+    const change = PAUSE_SMOOTHING_FACTOR * (pauseMs - this.meanPauseMs);
     this.meanPauseMs += change;
     this.objectiveMs = objectiveMs;
     const nowMs = this.inputs.now();
-    this.eventAtMs = nowMs;
-    if (nowMs - this.changedAtMs < INTERVAL_MS) return;
-    const isAbove = this.meanPauseMs > objectiveMs * TARGET_SHARE;
+    this.latestEventAtMs = nowMs;
+    if (nowMs - this.adjustedAtMs < ADJUSTMENT_INTERVAL_MS) return;
+    const isAbove = this.meanPauseMs > objectiveMs * TARGET_PAUSE_SHARE;
     const running = countRunning();
     if (isAbove) this.lower(running, nowMs);
     else this.raise(running, nowMs);
   }
 
   private lower(running: number, nowMs: number): void {
-    this.isSearching = false;
-    // Not in effect yet: the pauses still show what ran before it.
+    this.isSlowStarting = false;
+    // The previous decrease hasn't taken effect: more requests run than the
+    // limit allows.
     if (running > this.limit) return;
-    const factor = this.isLate ? LATE_DECREASE : DECREASE;
-    const lowered = Math.max(LEAST_LIMIT, running * factor);
+    const factor = this.isLate ? LATE_DECREASE_FACTOR : DECREASE_FACTOR;
+    const lowered = Math.max(MINIMUM_LIMIT, running * factor);
     if (lowered >= this.limit) return;
     this.limit = lowered;
-    this.changedAtMs = nowMs;
+    this.adjustedAtMs = nowMs;
     if (!this.isLate) return;
     const { emit, group } = this.inputs;
     const pauseMs = Math.round(this.meanPauseMs);
@@ -112,10 +122,10 @@
   }
 
   private raise(running: number, nowMs: number): void {
-    this.changedAtMs = nowMs;
-    // Room that nobody uses must not grow: a burst would fill it at once.
+    this.adjustedAtMs = nowMs;
+    // An unused limit must not grow, or a burst would fill it at once.
     if (running < Math.floor(this.limit) - 1) return;
-    if (this.isSearching) this.limit *= SEARCH_GROWTH;
-    else this.limit += INCREASE;
+    if (this.isSlowStarting) this.limit *= SLOW_START_FACTOR;
+    else this.limit += INCREASE_REQUESTS;
   }
 }
--- a/src/direct/port-state.ts
+++ b/src/direct/port-state.ts
@@ -1,11 +1,13 @@
-/** Looks whether anything listens at an address, over a connection of its own. */
+/**
+ * Checks with a separate connection whether a process listens at an address.
+ */
 import { connect } from "node:net";
 import type { PortState } from "../suspects/crash-watch.js";
 import { hostPortOf } from "./settings.js";
 
-/** Whoever takes longer is out of reach, ms; a caller is waiting. */
+/** Connection timeout, ms. It is short because a caller is waiting. */
 const CONNECT_TIMEOUT_MS = 150;
-/** Codes with which the system says that nobody listens. */
+/** Error codes that show that no process listens at the port. */
 const CLOSED: ReadonlySet<string> = new Set(["ECONNREFUSED", "ECONNRESET"]);
 
 /** `address`: host:port. */
--- a/src/direct/service-gate.ts
+++ b/src/direct/request-scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * Decides when a request of a service may start and on which runner. Waiting,
- * order and refusal are admission's; the room is what the pace of the streams
- * allows.
+ * Decides when a request of a service may start, and on which runner. Admission
+ * queues, orders and refuses requests; the concurrency limit follows from the
+ * pauses of running streams.
  */
 import { Left, Right, type Either } from "purify-ts/Either";
 import {
@@ -18,18 +18,18 @@
 } from "../internal.js";
 import type { BackendServer } from "../membership/types.js";
 import type { Route } from "../routing/types.js";
-import type { LateService } from "./pace-inquiry.js";
+import type { LateService } from "./slow-runner-probe.js";
 import type { RunnerConnections } from "./runner-connections.js";
 import {
   RunnerPool,
   type IsSlow,
   type Runner,
-  type Verdict,
+  type RunnerVerdict,
 } from "./runner-pool.js";
 import { ServiceGroups, type GroupOf } from "./service-groups.js";
 import type { Call } from "./types.js";
 
-export interface ServiceGateInputs {
+export interface RequestSchedulerInputs {
   readonly now: Now;
   readonly random: Random;
   readonly emit: Emit;
@@ -39,8 +39,8 @@
   readonly groupOf: GroupOf;
 }
 
-/** A request that has its place at a runner. */
-export interface Admitted {
+/** An admitted request and the runner that it is assigned to. */
+export interface AdmittedRequest {
   readonly request: AdmissionRequest;
   readonly runner: Runner;
 }
@@ -51,55 +51,68 @@
   readonly retries: RetryAllowance;
 }
 
-/** Resolves with a place, or with why there is none. */
+/** Resolves with a runner, or with the reason why there is none. */
 type Pending = Deferred<Either<Refusal, Runner>>;
 
-/** No runner at all: one that is replaced takes about this long to come, ms. */
-const NOBODY_RETRY_MS = 500;
+/**
+ * Retry delay if a service has no runner, ms: a replacement takes about this
+ * long.
+ */
+const NO_RUNNER_RETRY_AFTER_MS = 500;
 
-/** Waiting work that one entry holds, tokens; the deadline binds long before. */
-const QUEUE_TOKENS = 1_000_000;
+/**
+ * Maximum queued work of one entry, tokens. In practice deadlines limit the
+ * queue long before.
+ */
+const MAXIMUM_QUEUED_TOKENS = 1_000_000;
 
 /**
- * Part of the objective that a request may wait in the queue. A late answer
- * beats a refusal; a longer wait only makes those behind it late as well.
+ * Share of the objective that a request may wait in the queue. A late response
+ * is better than a refusal, but a longer wait only makes the requests behind it
+ * late as well.
  */
-const QUEUE_SHARE_OF_OBJECTIVE = 1;
+const QUEUE_WAIT_SHARE_OF_OBJECTIVE = 1;
 
 /**
- * The same while no runner of the service takes anything, ms. A group that lost
- * its ranks forms within about a second, and a caller that waits for it is
- * served late, where one that is refused is often lost: it has come back once.
+ * Queue time while no runner of the service accepts requests, ms. A group that
+ * has lost ranks forms again within about a second. A caller that waits for it
+ * is served late, whereas a refused one is often lost, because it is on a retry
+ * already.
  */
-const OUTAGE_QUEUE_MS = 1200;
+const OUTAGE_QUEUE_WAIT_MS = 1200;
 
 /**
- * Repeats that one entry can save up for a service. Deployments allow about a
- * hundred a service and window over all entries, beside a fifth of its
+ * Maximum retries that one entry saves up for a service. Deployments allow
+ * about a hundred per service and window over all entries, plus a fifth of its
  * requests; a dozen entries stay within that.
  */
-const SAVED_RETRIES = 8;
+const MAXIMUM_SAVED_RETRIES = 8;
 
-/** Share of a new answer in the mean time of a route's answers. */
-const DURATION_SHARE = 0.1;
+/**
+ * Weight of a new response in the moving average of a route's response times.
+ */
+const DURATION_SMOOTHING_FACTOR = 0.1;
 
 /**
- * A queue looks for room at least this often, ms: a full runner's pause ends
- * without an event of its own.
+ * Maximum interval at which queues are checked, ms: no event marks the end of a
+ * full runner's backoff.
  */
-const LONGEST_SWEEP_MS = 50;
+const MAXIMUM_SWEEP_INTERVAL_MS = 50;
 
-/** Plain requests are charged by their number. */
-const LEAST_COST = 1;
+/**
+ * Cost of a request without prompt tokens, so that such requests are charged by
+ * their number.
+ */
+const MINIMUM_COST_TOKENS = 1;
 
-export class ServiceGate {
+export class RequestScheduler {
   private readonly services = new Map<string, ServiceState>();
   private readonly pending = new Map<string, Pending>();
-  private readonly durations = new Map<string, number>();
+  private readonly meanDurationsMs = new Map<string, number>();
   private readonly admission: Admission;
   private sweepTimer: NodeJS.Timeout | undefined;
 
-  private constructor(private readonly inputs: ServiceGateInputs) {
+  private constructor(private readonly inputs: RequestSchedulerInputs) {
     const { now, random, emit } = inputs;
     this.admission = Admission.create({
       now,
@@ -108,13 +121,13 @@
       entries: () => 1,
       start: (request) => this.start(request),
       giveUp: ({ id }, refusal) => {
-        this.settle(id, Left(refusal));
+        this.resolvePending(id, Left(refusal));
       },
     });
   }
 
-  static create(inputs: ServiceGateInputs): ServiceGate {
-    return new ServiceGate(inputs);
+  static create(inputs: RequestSchedulerInputs): RequestScheduler {
+    return new RequestScheduler(inputs);
   }
 
   get waitingCount(): number {
@@ -123,7 +136,8 @@
 
   setServer(server: BackendServer): void {
     for (const [service, { pool }] of this.services) {
-      // An id belongs to one service, whatever it registered for before.
+      // A runner belongs to one service; remove it from those that it was
+      // registered for before.
       if (service !== server.service) pool.remove(server.id);
     }
     this.serviceOf(server.service).pool.set(server);
@@ -135,17 +149,17 @@
   }
 
   /**
-   * A later life has begun under the id or at the address of the earlier one,
-   * of which nothing counts any more.
+   * A later incarnation has started under the id or at the address of the
+   * earlier one, whose state no longer counts.
    */
-  endLife(earlier: BackendServer, later: BackendServer): void {
+  endIncarnation(earlier: BackendServer, later: BackendServer): void {
     for (const { pool, groups } of this.services.values()) {
-      pool.endLife(earlier, later);
-      groups.forget(earlier.id);
+      pool.endIncarnation(earlier, later);
+      groups.forgetRunner(earlier.id);
     }
   }
 
-  /** The group has formed anew: what it refused before says nothing. */
+  /** The group has formed again: its earlier refusals no longer count. */
   onGroupFormed(group: string): void {
     for (const [service, { groups }] of this.services) {
       groups.onFormed(group);
@@ -153,63 +167,68 @@
     }
   }
 
-  /** Resolves with a place, or with why there is none. */
-  async enter(call: Call): Promise<Either<Refusal, Admitted>> {
+  /** Resolves with a runner, or with the reason why there is none. */
+  async admit(call: Call): Promise<Either<Refusal, AdmittedRequest>> {
     const { pool } = this.serviceOf(call.service);
-    if (pool.size === 0) return Left(nobody(call));
-    const request = this.admissionOf(call);
+    if (pool.size === 0) return Left(noRunnerRefusal(call));
+    const request = this.admissionRequestOf(call);
     const pending: Pending = createDeferred();
     this.pending.set(request.id, pending);
     const offer = this.admission.offer(request);
-    if (offer.kind === "refused") this.settle(request.id, Left(offer));
+    if (offer.kind === "refused") this.resolvePending(request.id, Left(offer));
     if (offer.kind === "queued") this.scheduleSweep();
     const placed = await pending.promise;
     return placed.map((runner) => ({ request, runner }));
   }
 
-  /** Ends the wait of a request whose caller went away or whose time is over. */
+  /**
+   * Removes a request from the queue because its caller has disconnected or its
+   * deadline has passed.
+   */
   cancel(id: string, refusal: Refusal): void {
     this.admission.cancel(id);
-    this.settle(id, Left(refusal));
+    this.resolvePending(id, Left(refusal));
   }
 
-  /** Services of which a group's streams of this entry are late. */
+  /** Services with a group in which this entry's streams are late. */
   lateServices(): readonly LateService[] {
     return [...this.services]
       .map(([name, { groups }]) => ({ name, runners: groups.lateServers }))
       .filter(({ runners }) => runners.length > 0);
   }
 
-  /** Another runner for an admitted request, which keeps its place. */
-  moveOn(
-    admitted: Admitted,
+  /** Assigns another runner to an admitted request, which stays admitted. */
+  reassign(
+    admitted: AdmittedRequest,
     excluded: ReadonlySet<Runner>,
-  ): Admitted | undefined {
+  ): AdmittedRequest | undefined {
     const { pool, groups } = this.serviceOf(admitted.request.pool);
-    const runner = groups.runnerToMoveTo(excluded);
+    const runner = groups.runnerForMovedRequest(excluded);
     if (runner === undefined) return undefined;
     pool.start(runner);
     return { ...admitted, runner };
   }
 
-  /** Whether a stream had better go on at another runner. */
-  isBetterElsewhere(
-    { request, runner }: Admitted,
+  /**
+   * Whether the request's runner is slow and one that isn't slow is available.
+   */
+  hasFasterRunner(
+    { request, runner }: AdmittedRequest,
     tried: ReadonlySet<Runner>,
   ): boolean {
     if (!this.isSlow(runner)) return false;
     const { groups } = this.serviceOf(request.pool);
-    const other = groups.runnerToMoveTo(tried);
+    const other = groups.runnerForMovedRequest(tried);
     return other !== undefined && !this.isSlow(other);
   }
 
-  /** A connection to the runner has fallen silent. */
-  onSilent({ request, runner }: Admitted): void {
-    this.serviceOf(request.pool).pool.renew(runner);
+  /** A connection to the runner has fallen silent: replaces its connections. */
+  onConnectionSilent({ request, runner }: AdmittedRequest): void {
+    this.serviceOf(request.pool).pool.replaceConnections(runner);
   }
 
   /** The attempt at the runner has ended. */
-  release({ request, runner }: Admitted, verdict: Verdict): void {
+  release({ request, runner }: AdmittedRequest, verdict: RunnerVerdict): void {
     const { pool, groups } = this.serviceOf(request.pool);
     pool.release(runner, verdict);
     if (verdict === "served") groups.onAccepted(runner);
@@ -217,26 +236,28 @@
     if (isRefused && !runner.isEnded) groups.onRefused(runner);
   }
 
-  /** The request is over; its place is free. */
-  leave({ request }: Admitted, durationMs: number | undefined): void {
+  /** The request has ended: frees its admission. */
+  finish({ request }: AdmittedRequest, durationMs: number | undefined): void {
     const { costTokens, profile } = request;
-    if (durationMs !== undefined) this.learnDuration(profile, durationMs);
+    if (durationMs !== undefined) this.updateMeanDuration(profile, durationMs);
     this.admission.onEnded(request, { costTokens, durationMs });
   }
 
-  /** Whether all runners of the service refuse. */
-  isOut(service: string): boolean {
-    return this.serviceOf(service).groups.isOut;
+  /** Whether all groups of the service refuse requests. */
+  isUnavailable(service: string): boolean {
+    return this.serviceOf(service).groups.isUnavailable;
   }
 
-  /** The runner has begun to answer. */
-  onAccepted({ request, runner }: Admitted): void {
+  /** The runner has started to respond. */
+  onAccepted({ request, runner }: AdmittedRequest): void {
     this.serviceOf(request.pool).groups.onAccepted(runner);
   }
 
-  /** An event of a stream came `pauseMs` after the one before. */
+  /**
+   * Records that an event of a stream came `pauseMs` after the previous one.
+   */
   onPause(
-    { request, runner }: Admitted,
+    { request, runner }: AdmittedRequest,
     pauseMs: number,
     objectiveMs: number,
   ): void {
@@ -261,10 +282,10 @@
 
   private start(request: AdmissionRequest): boolean {
     const { pool, groups } = this.serviceOf(request.pool);
-    const runner = groups.runnerToStart();
+    const runner = groups.runnerForNewRequest();
     if (runner === undefined) return false;
     pool.start(runner);
-    this.settle(request.id, Right(runner));
+    this.resolvePending(request.id, Right(runner));
     return true;
   }
 
@@ -272,18 +293,20 @@
     return this.inputs.isSlow(server.address, server.startedAtMs);
   }
 
-  private longestWaitMs({ route, service }: Call): number {
-    const waitMs = route.objectiveMs * QUEUE_SHARE_OF_OBJECTIVE;
-    return this.isOut(service) ? Math.max(OUTAGE_QUEUE_MS, waitMs) : waitMs;
+  private maximumWaitMs({ route, service }: Call): number {
+    const waitMs = route.objectiveMs * QUEUE_WAIT_SHARE_OF_OBJECTIVE;
+    return this.isUnavailable(service)
+      ? Math.max(OUTAGE_QUEUE_WAIT_MS, waitMs)
+      : waitMs;
   }
 
-  private settle(id: string, result: Either<Refusal, Runner>): void {
+  private resolvePending(id: string, result: Either<Refusal, Runner>): void {
     const pending = this.pending.get(id);
     this.pending.delete(id);
     pending?.resolve(result);
   }
 
-  private admissionOf(call: Call): AdmissionRequest {
+  private admissionRequestOf(call: Call): AdmissionRequest {
     const { route, fields, account = "", service } = call;
     return {
       id: call.id,
@@ -292,22 +315,22 @@
       pool: service,
       profile: route.name,
       priority: call.priority,
-      costTokens: fields.promptTokens + LEAST_COST,
-      serviceMs: this.durations.get(route.name) ?? 0,
+      costTokens: fields.promptTokens + MINIMUM_COST_TOKENS,
+      serviceMs: this.meanDurationsMs.get(route.name) ?? 0,
       arrivedAtMs: call.arrivedAtMs,
-      deadlineAtMs: call.dueAtMs,
+      deadlineAtMs: call.deadlineAtMs,
       queue: {
-        maximumTokens: QUEUE_TOKENS,
-        maximumWaitMs: this.longestWaitMs(call),
+        maximumTokens: MAXIMUM_QUEUED_TOKENS,
+        maximumWaitMs: this.maximumWaitMs(call),
       },
       concurrency: Number.POSITIVE_INFINITY,
     };
   }
 
-  private learnDuration(profile: Route["name"], durationMs: number): void {
-    const known = this.durations.get(profile) ?? durationMs;
-    const change = DURATION_SHARE * (durationMs - known);
-    this.durations.set(profile, known + change);
+  private updateMeanDuration(profile: Route["name"], durationMs: number): void {
+    const known = this.meanDurationsMs.get(profile) ?? durationMs;
+    const change = DURATION_SMOOTHING_FACTOR * (durationMs - known);
+    this.meanDurationsMs.set(profile, known + change);
   }
 
   private scheduleSweep(): void {
@@ -322,7 +345,7 @@
         }
         if (this.admission.waitingCount > 0) this.scheduleSweep();
       },
-      Math.max(1, Math.min(waitMs, LONGEST_SWEEP_MS)),
+      Math.max(1, Math.min(waitMs, MAXIMUM_SWEEP_INTERVAL_MS)),
     );
   }
 
@@ -338,7 +361,7 @@
         pool: name,
         random,
         emit,
-        mostRetries: SAVED_RETRIES,
+        mostRetries: MAXIMUM_SAVED_RETRIES,
       }),
     };
     this.services.set(name, state);
@@ -346,9 +369,9 @@
   }
 }
 
-function nobody(call: Call): Refusal {
+function noRunnerRefusal(call: Call): Refusal {
   return {
     error: failure(1209, { pool: call.service }),
-    retryAfterMs: NOBODY_RETRY_MS,
+    retryAfterMs: NO_RUNNER_RETRY_AFTER_MS,
   };
 }
--- a/src/direct/runner-connections.ts
+++ b/src/direct/runner-connections.ts
@@ -1,80 +1,84 @@
-/** Connections of one entry to one life of a runner. */
+/** Connections of an entry to one incarnation of a runner. */
 import { Socket } from "node:net";
 import { Pool, type Dispatcher, type buildConnector } from "undici";
 import { createConnector } from "../shared/connector.js";
 
-/** Established within this time or not at all, ms. */
+/** Timeout for opening a connection, ms. */
 const CONNECT_TIMEOUT_MS = 800;
-/** Idle connections are closed after this time, ms; runners may be sooner. */
-const IDLE_CONNECTION_MS = 4000;
-/** Connections of one entry to one runner. */
-const CONNECTIONS_EACH_RUNNER = 24;
+/**
+ * Time after which idle connections are closed, ms; a runner may close them
+ * earlier.
+ */
+const IDLE_CONNECTION_TIMEOUT_MS = 4000;
+/** Maximum connections of one entry to one runner. */
+const MAXIMUM_CONNECTIONS_PER_RUNNER = 24;
 
 export interface RunnerConnections {
   readonly dispatch: Dispatcher["dispatch"];
-  /** Takes nothing new; what runs goes on to its end. */
+  /** Rejects new requests; running ones continue to their end. */
   readonly close: () => Promise<void>;
-  /** The runner is over: all that runs or waits here fails at once. */
-  readonly endAll: () => void;
+  /** Aborts all running and queued requests, because the runner has stopped. */
+  readonly abortAll: () => void;
   /**
-   * Another life of the runner has begun at the address at this time, Unix ms.
-   * What runs on connections from before fails at once; those opened since then
-   * lead to the later life, and what runs there goes on.
+   * A new incarnation of the runner has started at the address at this time,
+   * Unix ms. Requests on connections opened earlier are aborted; later
+   * connections lead to the new incarnation, and their requests continue.
    */
-  readonly endOpenedBefore: (startedAtMs: number) => void;
+  readonly abortOpenedBefore: (startedAtMs: number) => void;
 }
 
-/** `address`: host:port. One request at a time on a connection. */
+/** `address`: host:port. Requests aren't pipelined. */
 export function connectRunner(address: string): RunnerConnections {
   const opened = new Map<Socket, number>();
   const pool = new Pool(`http://${address}`, {
-    connections: CONNECTIONS_EACH_RUNNER,
+    connections: MAXIMUM_CONNECTIONS_PER_RUNNER,
     pipelining: 1,
-    connect: recordOpened(
+    connect: recordOpenedAt(
       createConnector({ timeout: CONNECT_TIMEOUT_MS }),
       opened,
     ),
-    keepAliveTimeout: IDLE_CONNECTION_MS,
+    keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
     headersTimeout: 0,
     bodyTimeout: 0,
   });
   return {
     dispatch: (options, handler) => pool.dispatch(options, handler),
     close: () => pool.close(),
-    endAll: () => {
-      void pool.destroy(lifeOver());
+    abortAll: () => {
+      void pool.destroy(runnerRestartedError());
     },
-    endOpenedBefore: (startedAtMs) => {
+    abortOpenedBefore: (startedAtMs) => {
       for (const [socket, openedAtMs] of opened) {
-        if (openedAtMs < startedAtMs) socket.destroy(lifeOver());
+        if (openedAtMs < startedAtMs) socket.destroy(runnerRestartedError());
       }
     },
   };
 }
 
-function lifeOver(): Error {
+function runnerRestartedError(): Error {
   return new Error("the runner has started again");
 }
 
 /**
- * Unix ms that don't jump when the time of day is set: a connection must not
- * seem older than a life that began before it.
+ * Unix time that doesn't jump when the system clock is set, ms. Otherwise a
+ * connection might appear to be older than an incarnation that started before
+ * it.
  */
-export function steadyUnixMs(): number {
+export function monotonicUnixMs(): number {
   return performance.timeOrigin + performance.now();
 }
 
-/** Keeps the open sockets, and when each was opened, Unix ms. */
-function recordOpened(
+/** Wraps a connector to record when each open socket was opened, Unix ms. */
+function recordOpenedAt(
   connect: buildConnector.connector,
   opened: Map<Socket, number>,
 ): buildConnector.connector {
   return (options, callback) => {
     connect(options, (...result) => {
       const [, socket] = result;
-      // Undefined, whatever its type says, when there is no connection.
+      // Undefined if the connection failed, although the type doesn't say so.
       if (socket instanceof Socket) {
-        opened.set(socket, steadyUnixMs());
+        opened.set(socket, monotonicUnixMs());
         socket.once("close", () => opened.delete(socket));
       }
       callback(...result);
--- a/src/direct/runner-pool.ts
+++ b/src/direct/runner-pool.ts
@@ -1,7 +1,7 @@
 /**
- * The runners of one service as one entry sees them: what it runs there
- * itself, and whether they fail. Places a request on the runner that has the
- * smallest part of its slots taken by this entry.
+ * The runners of one service as seen by one entry: the attempts it runs there,
+ * and whether they fail. A request is placed on the runner of whose slots this
+ * entry uses the smallest share.
  */
 import { toFailure, type Emit, type Now, type Random } from "../internal.js";
 import type { LifeStart } from "../membership/life.js";
@@ -9,29 +9,41 @@
 import { RunnerHealth } from "../placement/health.js";
 import type { RunnerConnections } from "./runner-connections.js";
 
-/** One life of a runner: a later one gets an object of its own. */
+/** One incarnation of a runner; a later one gets its own object. */
 export interface Runner {
-  /** Its registration, as last read. */
+  /** The registration, as last read. */
   server: BackendServer;
   connections: RunnerConnections;
-  /** Replaced ones, until what runs there has ended. */
-  readonly retired: Set<RunnerConnections>;
+  /** Replaced connections whose requests haven't ended. */
+  readonly retiredConnections: Set<RunnerConnections>;
   readonly health: RunnerHealth;
-  /** Attempts of this entry that run there. */
+  /** Running attempts of this entry at the runner. */
   running: number;
-  /** It refused the last request; nothing is sent before then, ms. */
+  /**
+   * The runner refused the last request and gets no new ones until this time,
+   * ms.
+   */
   fullUntilMs: number;
-  /** A later life has begun; what attempts here tell is of no use. */
+  /**
+   * A later incarnation has started; results of attempts at this one are
+   * ignored.
+   */
   isEnded: boolean;
 }
 
-/** Part of the slots of some runners that one entry has taken. */
-export interface Taken {
+/**
+ * Running attempts of this entry at some runners, and the slots of those
+ * runners.
+ */
+export interface SlotUsage {
   readonly running: number;
   readonly slots: number;
 }
 
-/** Tells whether the life at host:port with this start is known to be slow. */
+/**
+ * Returns whether the incarnation with this address (host:port) and start time
+ * is slow.
+ */
 export type IsSlow = (address: string, startedAtMs: LifeStart) => boolean;
 
 export interface RunnerPoolInputs {
@@ -44,31 +56,34 @@
   readonly isSlow: IsSlow;
 }
 
-/** How an attempt ended, as far as it tells of the runner. */
-export type Verdict = "served" | "failed" | "full" | "replaced" | "none";
+/** What the end of an attempt says about the runner. */
+export type RunnerVerdict = "served" | "failed" | "full" | "replaced" | "none";
 
 /**
- * A runner that was full is tried again after this time, ms: about the time
- * of one of its slots coming free with eight answers of a second each.
+ * Time until a full runner is tried again, ms: about the time in which one of
+ * eight slots becomes free if each request takes a second.
  */
-const FULL_PAUSE_MS = 120;
+const FULL_BACKOFF_MS = 120;
 
-/** Times its slots; an entry never has as much at one runner. */
+/**
+ * Added to the load score of a slow runner; larger than any share of slots that
+ * an entry uses at a runner.
+ */
 const SLOW_PENALTY = 1000;
 
 /**
- * An address at which another runner answers, ms. The one that was meant is
- * gone; its registration lapses after three heartbeats, and every request sent
- * there until then costs its caller an attempt.
+ * Backoff for an address at which another runner responds, ms. The runner that
+ * was meant is gone; its registration expires after three heartbeats, and until
+ * then every request sent there costs its caller an attempt.
  */
-const REPLACED_PAUSE_MS = 2000;
+const REPLACED_BACKOFF_MS = 2000;
 
-const NOTHING_TAKEN: Taken = { running: 0, slots: 0 };
+const NO_SLOT_USAGE: SlotUsage = { running: 0, slots: 0 };
 
 export class RunnerPool {
   private readonly runners = new Map<string, Runner>();
-  /** They get nothing new, and attempts still run there. */
-  private readonly departed = new Set<Runner>();
+  /** Removed runners at which attempts still run. */
+  private readonly removedRunners = new Set<Runner>();
 
   private constructor(private readonly inputs: RunnerPoolInputs) {}
 
@@ -85,22 +100,27 @@
     return Array.from(this.runners.values(), ({ server }) => server);
   }
 
-  /** What this entry runs, and all slots, by the key of a runner. */
-  takenBy(keyOf: (runner: Runner) => string): ReadonlyMap<string, Taken> {
-    const taken = new Map<string, Taken>();
+  /** Slot usage summed over the runners that have the same key. */
+  slotUsageBy(
+    keyOf: (runner: Runner) => string,
+  ): ReadonlyMap<string, SlotUsage> {
+    const usage = new Map<string, SlotUsage>();
     for (const runner of this.runners.values()) {
       const key = keyOf(runner);
-      const { running, slots } = taken.get(key) ?? NOTHING_TAKEN;
-      taken.set(key, {
+      const { running, slots } = usage.get(key) ?? NO_SLOT_USAGE;
+      usage.set(key, {
         running: running + runner.running,
         slots: slots + runner.server.slots,
       });
     }
-    return taken;
+    return usage;
   }
 
-  /** Attempts of this entry at the runners that `isCounted` picks. */
-  runningIn(isCounted: (runner: Runner) => boolean): number {
+  /**
+   * Number of running attempts of this entry at the runners that `isCounted`
+   * selects.
+   */
+  countRunning(isCounted: (runner: Runner) => boolean): number {
     let running = 0;
     for (const runner of this.runners.values()) {
       if (isCounted(runner)) running += runner.running;
@@ -118,7 +138,7 @@
     this.runners.set(server.id, {
       server,
       connections: this.inputs.connect(server.address),
-      retired: new Set(),
+      retiredConnections: new Set(),
       health: RunnerHealth.create(this.inputs.random),
       running: 0,
       fullUntilMs: 0,
@@ -127,45 +147,46 @@
   }
 
   /**
-   * New connections for what comes next: when one has fallen silent, those that
-   * lie idle beside it may have as well. A runner that has left meanwhile needs
-   * none, and its old ones are closed already.
+   * Opens new connections for further requests: if one connection has fallen
+   * silent, idle ones to the same runner may have too. A runner that has been
+   * removed needs none, and its connections are closed already.
    */
-  renew(runner: Runner): void {
+  replaceConnections(runner: Runner): void {
     const { connections, server } = runner;
     if (this.runners.get(server.id) !== runner) return;
     runner.connections = this.inputs.connect(server.address);
-    void this.retire(runner, connections);
+    void this.closeRetired(runner, connections);
   }
 
-  /** What runs there goes on to its end. */
+  /** Removes the runner; its running attempts continue to their end. */
   remove(id: string): void {
     const runner = this.runners.get(id);
     if (runner === undefined) return;
     this.runners.delete(id);
-    if (runner.running > 0) this.departed.add(runner);
+    if (runner.running > 0) this.removedRunners.add(runner);
     void this.closeConnections(runner.connections);
   }
 
   /**
-   * A later life has begun. What runs at the earlier one fails at once: its
-   * connections may be silent rather than reset, and callers would wait for
-   * nothing until their time is over.
+   * A later incarnation has started: aborts what runs at the earlier one. Its
+   * connections may be silent rather than reset, and callers would wait until
+   * their deadline.
    */
-  endLife(earlier: BackendServer, later: BackendServer): void {
-    const ended = [...this.departed].filter(
-      ({ server }) => server.id === earlier.id && !isSameLife(server, later),
+  endIncarnation(earlier: BackendServer, later: BackendServer): void {
+    const ended = [...this.removedRunners].filter(
+      ({ server }) =>
+        server.id === earlier.id && !isSameIncarnation(server, later),
     );
     const current = this.runners.get(earlier.id);
-    if (current !== undefined && !isSameLife(current.server, later)) {
+    if (current !== undefined && !isSameIncarnation(current.server, later)) {
       this.remove(earlier.id);
       ended.push(current);
     }
-    for (const runner of ended) endConnections(runner, later);
+    for (const runner of ended) abortConnections(runner, later);
   }
 
-  /** The least taken runner of those allowed that may take work. */
-  choose(
+  /** Returns the available runner with the lowest load score. */
+  selectRunner(
     excluded: ReadonlySet<Runner>,
     isAllowed: (runner: Runner) => boolean = () => true,
   ): Runner | undefined {
@@ -176,7 +197,7 @@
       if (excluded.has(runner) || !isAllowed(runner)) continue;
       if (runner.fullUntilMs > nowMs) continue;
       if (!runner.health.mayTake(nowMs)) continue;
-      const score = this.scoreOf(runner);
+      const score = this.loadScoreOf(runner);
       if (score >= bestScore) continue;
       best = runner;
       bestScore = score;
@@ -189,9 +210,9 @@
     runner.health.onPlaced();
   }
 
-  release(runner: Runner, verdict: Verdict): void {
+  release(runner: Runner, verdict: RunnerVerdict): void {
     runner.running -= 1;
-    if (runner.running === 0) this.departed.delete(runner);
+    if (runner.running === 0) this.removedRunners.delete(runner);
     if (runner.isEnded) return;
     const { health, server } = runner;
     const nowMs = this.inputs.now();
@@ -208,11 +229,11 @@
         }
         return;
       case "full":
-        runner.fullUntilMs = nowMs + FULL_PAUSE_MS;
+        runner.fullUntilMs = nowMs + FULL_BACKOFF_MS;
         health.onNoVerdict();
         return;
       case "replaced":
-        runner.fullUntilMs = nowMs + REPLACED_PAUSE_MS;
+        runner.fullUntilMs = nowMs + REPLACED_BACKOFF_MS;
         health.onNoVerdict();
         return;
       case "none":
@@ -228,16 +249,16 @@
     );
   }
 
-  private async retire(
+  private async closeRetired(
     runner: Runner,
     connections: RunnerConnections,
   ): Promise<void> {
-    runner.retired.add(connections);
+    runner.retiredConnections.add(connections);
     await this.closeConnections(connections);
-    runner.retired.delete(connections);
+    runner.retiredConnections.delete(connections);
   }
 
-  /** A failure here is worth a line, never the process. */
+  /** A failure to close is logged and must not end the process. */
   private async closeConnections(
     connections: RunnerConnections,
   ): Promise<void> {
@@ -254,34 +275,42 @@
   }
 
   /**
-   * Ties go to the own data centre at even odds, else at random. A slow runner
-   * comes after all that aren't, however much they have: with work of its own
-   * it holds back its whole group.
+   * Share of the runner's slots that this entry uses. Ties go to the entry's
+   * own data centre with even odds, and otherwise to a random runner. A slow
+   * runner comes after all others whatever their load, because requests of its
+   * own there delay its whole group.
    */
-  private scoreOf({ server, running }: Runner): number {
+  private loadScoreOf({ server, running }: Runner): number {
     const { random, dataCentre, isSlow } = this.inputs;
-    const near = server.dataCentre === dataCentre ? 0 : 0.25;
+    const distancePenalty = server.dataCentre === dataCentre ? 0 : 0.25;
     const { address, startedAtMs } = server;
-    const slow = isSlow(address, startedAtMs) ? SLOW_PENALTY : 0;
-    const taken = (running + near + random() * 0.5) / Math.max(1, server.slots);
-    return taken + slow;
+    const slowPenalty = isSlow(address, startedAtMs) ? SLOW_PENALTY : 0;
+    const usage =
+      (running + distancePenalty + random() * 0.5) / Math.max(1, server.slots);
+    return usage + slowPenalty;
   }
 }
 
-function isSameLife(one: BackendServer, other: BackendServer): boolean {
+function isSameIncarnation(one: BackendServer, other: BackendServer): boolean {
   return one.id === other.id && one.startedAtMs === other.startedAtMs;
 }
 
-/** At the same address, connections opened since lead to the later life. */
-function endConnections(runner: Runner, later: BackendServer): void {
+/**
+ * Aborts the connections of an earlier incarnation. If the later one has the
+ * same address, connections opened since its start lead to it and are kept.
+ */
+function abortConnections(runner: Runner, later: BackendServer): void {
   runner.isEnded = true;
   const { address, startedAtMs } = later;
-  const isThere = runner.server.address === address;
-  for (const connections of [runner.connections, ...runner.retired]) {
-    if (isThere && startedAtMs !== undefined) {
-      connections.endOpenedBefore(startedAtMs);
+  const isSameAddress = runner.server.address === address;
+  for (const connections of [
+    runner.connections,
+    ...runner.retiredConnections,
+  ]) {
+    if (isSameAddress && startedAtMs !== undefined) {
+      connections.abortOpenedBefore(startedAtMs);
     } else {
-      connections.endAll();
+      connections.abortAll();
     }
   }
 }
--- a/src/direct/service-groups.ts
+++ b/src/direct/service-groups.ts
@@ -1,18 +1,18 @@
 /**
- * The groups of one service's runners: how much each serves within the
- * objective, and whether it refuses. Runners of which no group is known, such as
- * those of a plain service, count as one.
+ * The groups of one service's runners: how many requests each can serve within
+ * the objective, and whether it refuses. Runners without a known group, such as
+ * those of a plain service, form a single group.
  */
 import type { Emit, Now } from "../internal.js";
 import type { BackendServer } from "../membership/types.js";
 import { NO_GROUP } from "../membership/runner-groups.js";
 import { CircuitBreaker } from "./circuit-breaker.js";
 import {
-  groupsToMoveTo,
-  groupsToStartIn,
+  orderForMovedRequest,
+  orderForNewRequest,
   type GroupLoad,
 } from "./group-choice.js";
-import { PaceLimit } from "./pace-limit.js";
+import { ConcurrencyLimit } from "./pace-limit.js";
 import type { Runner, RunnerPool } from "./runner-pool.js";
 
 /** `address`: host:port of a runner. */
@@ -27,11 +27,11 @@
 }
 
 interface Group {
-  readonly pace: PaceLimit;
+  readonly concurrencyLimit: ConcurrencyLimit;
   readonly breaker: CircuitBreaker;
 }
 
-const NOTHING_EXCLUDED: ReadonlySet<Runner> = new Set();
+const NO_RUNNERS: ReadonlySet<Runner> = new Set();
 
 export class ServiceGroups {
   private readonly groups = new Map<string, Group>();
@@ -42,84 +42,101 @@
     return new ServiceGroups(options);
   }
 
-  /** Whether all groups refuse. */
-  get isOut(): boolean {
-    const loads = this.loads();
-    return loads.length > 0 && loads.every(({ isOut }) => isOut);
+  /** Whether all groups refuse requests. */
+  get isUnavailable(): boolean {
+    const loads = this.groupLoads();
+    return loads.length > 0 && loads.every(({ isRefusing }) => isRefusing);
   }
 
   /** Monotonic time of the last event of any stream of the service, ms. */
   get lastEventAtMs(): number {
-    const times = Array.from(this.groups.values(), ({ pace }) => {
-      return pace.lastEventAtMs;
-    });
-    return Math.max(Number.NEGATIVE_INFINITY, ...times);
+    const eventTimesMs = Array.from(
+      this.groups.values(),
+      ({ concurrencyLimit }) => {
+        return concurrencyLimit.lastEventAtMs;
+      },
+    );
+    return Math.max(Number.NEGATIVE_INFINITY, ...eventTimesMs);
   }
 
-  /** Registrations in groups whose streams of this entry are late. */
+  /**
+   * Registrations of runners in groups in which this entry's streams are late.
+   */
   get lateServers(): readonly BackendServer[] {
     const { pool, groupOf } = this.options;
     return pool.servers.filter(
-      ({ address }) => this.groups.get(groupOf(address))?.pace.isLate,
+      ({ address }) =>
+        this.groups.get(groupOf(address))?.concurrencyLimit.isLate,
     );
   }
 
-  /** A runner for a new request; takes a trial if it is one. */
-  runnerToStart(): Runner | undefined {
-    const loads = this.loads();
-    const hasAlternative = loads.some(({ isOut }) => !isOut);
-    for (const { name } of groupsToStartIn(loads)) {
-      const runner = this.choose(name, NOTHING_EXCLUDED);
+  /**
+   * Selects a runner for a new request. May use up a trial of a circuit
+   * breaker.
+   */
+  runnerForNewRequest(): Runner | undefined {
+    const loads = this.groupLoads();
+    const hasAlternative = loads.some(({ isRefusing }) => !isRefusing);
+    for (const { name } of orderForNewRequest(loads)) {
+      const runner = this.selectRunner(name, NO_RUNNERS);
       if (runner === undefined) continue;
-      if (this.group(name).breaker.mayStart(hasAlternative)) return runner;
+      if (this.groupNamed(name).breaker.tryStart(hasAlternative)) return runner;
     }
     return undefined;
   }
 
-  /** A runner for a request that keeps its place. */
-  runnerToMoveTo(excluded: ReadonlySet<Runner>): Runner | undefined {
+  /** Selects a runner for an admitted request that has lost its runner. */
+  runnerForMovedRequest(excluded: ReadonlySet<Runner>): Runner | undefined {
     const { groupOf } = this.options;
     const tried = Array.from(excluded, ({ server }) => groupOf(server.address));
-    for (const { name } of groupsToMoveTo(this.loads(), new Set(tried))) {
-      const runner = this.choose(name, excluded);
+    for (const { name } of orderForMovedRequest(
+      this.groupLoads(),
+      new Set(tried),
+    )) {
+      const runner = this.selectRunner(name, excluded);
       if (runner !== undefined) return runner;
     }
     return undefined;
   }
 
-  /** A runner has begun to answer. */
+  /** A runner has started to respond. */
   onAccepted(runner: Runner): void {
     this.groupOf(runner).breaker.onAccepted();
   }
 
-  /** A runner has said that it has not run a request. */
+  /** A runner has refused a request without running it. */
   onRefused(runner: Runner): void {
     this.groupOf(runner).breaker.onRefused(runner.server.id);
   }
 
-  /** The runner has started again; what it refused before says nothing. */
-  forget(runner: string): void {
-    for (const { breaker } of this.groups.values()) breaker.forget(runner);
+  /**
+   * The runner has restarted: drops the refusals of its earlier incarnation.
+   */
+  forgetRunner(runner: string): void {
+    for (const { breaker } of this.groups.values())
+      breaker.forgetRunner(runner);
   }
 
-  /** Its planner has seen the group whole. */
+  /** The group's planner reports that the group is complete. */
   onFormed(name: string): void {
     this.groups.get(name)?.breaker.onAccepted();
   }
 
-  /** A stream's event came `pauseMs` after the one before. */
+  /** Records that a stream's event came `pauseMs` after the previous one. */
   onPause(runner: Runner, pauseMs: number, objectiveMs: number): void {
     const { groupOf, pool } = this.options;
     const name = groupOf(runner.server.address);
-    const { pace } = this.group(name);
-    pace.onPause(pauseMs, objectiveMs, () => pool.runningIn(this.isIn(name)));
+    const { concurrencyLimit } = this.groupNamed(name);
+    concurrencyLimit.onPause(pauseMs, objectiveMs, () =>
+      pool.countRunning(this.isIn(name)),
+    );
   }
 
-  private choose(
+  private selectRunner(
     name: string,
     excluded: ReadonlySet<Runner>,
   ): Runner | undefined {
-    return this.options.pool.choose(excluded, this.isIn(name));
+    return this.options.pool.selectRunner(excluded, this.isIn(name));
   }
 
   private isIn(name: string): (runner: Runner) => boolean {
@@ -127,27 +144,27 @@
     return ({ server }) => groupOf(server.address) === name;
   }
 
-  private loads(): readonly GroupLoad[] {
+  private groupLoads(): readonly GroupLoad[] {
     const { pool, groupOf } = this.options;
-    const taken = pool.takenBy(({ server }) => groupOf(server.address));
-    return Array.from(taken, ([name, { running, slots }]) => {
-      const { pace, breaker } = this.group(name);
-      const room = pace.roomFor(slots);
-      return { name, running, room, isOut: breaker.isOpen };
+    const usage = pool.slotUsageBy(({ server }) => groupOf(server.address));
+    return Array.from(usage, ([name, { running, slots }]) => {
+      const { concurrencyLimit, breaker } = this.groupNamed(name);
+      const limit = concurrencyLimit.limitFor(slots);
+      return { name, running, limit, isRefusing: breaker.isOpen };
     });
   }
 
   private groupOf({ server }: Runner): Group {
-    return this.group(this.options.groupOf(server.address));
+    return this.groupNamed(this.options.groupOf(server.address));
   }
 
-  private group(name: string): Group {
+  private groupNamed(name: string): Group {
     const known = this.groups.get(name);
     if (known !== undefined) return known;
     const { now, emit, service } = this.options;
     const label = name === NO_GROUP ? service : name;
     const group = {
-      pace: PaceLimit.create({ now, emit, group: label }),
+      concurrencyLimit: ConcurrencyLimit.create({ now, emit, group: label }),
       breaker: CircuitBreaker.create(now),
     };
     this.groups.set(name, group);
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the direct path's processes: JSON with comments, checked. */
+/** Settings of the direct path's processes: JSON with comments, validated. */
 import { isDeepStrictEqual } from "node:util";
 import { z } from "zod";
 import {
@@ -82,7 +82,7 @@
   return parseSettingsText(directSettingsSchema, text, file);
 }
 
-/** Fields in which two readings of the settings differ. */
+/** Names of the fields that differ between two versions of the settings. */
 export function changedFields(
   before: DirectSettings,
   after: DirectSettings,
--- a/src/direct/stall.ts
+++ b/src/direct/stall.ts
@@ -1,27 +1,31 @@
 /**
- * When a stream is taken for stalled. A connection to a runner may fall silent
- * for good while new ones work: no reset comes, and only the missing events
- * show it. Callers give a stream up after two seconds without one.
+ * Detects stalled streams. A connection to a runner may fall silent for good
+ * while new ones work: there is no reset, only missing events. Callers give up
+ * a stream after two seconds without an event.
  *
- * A group whose rank is gone stalls as a whole, and then no other runner does
- * better; moving all of its streams at once would only spend the allowance for
- * repeats. So a stream is moved only while others of its service go on.
+ * A group that has lost a rank stalls as a whole, and then no other runner of
+ * it does better: moving all of its streams at once would only use up the retry
+ * budget. A stream is therefore moved only while others of its service
+ * progress.
  */
 
-/** Without an event for so long, ms: eight slow passes, half of what callers wait. */
-const STALLED_MS = 1000;
-/** The service goes on when some stream had an event within this time, ms. */
-const FRESH_MS = 400;
-/** Between two looks at a running stream, ms. */
-export const STALL_LOOK_MS = 300;
+/**
+ * Time without an event after which a stream counts as stalled, ms: eight slow
+ * passes, and half of what callers wait.
+ */
+const STALL_TIMEOUT_MS = 1000;
+/** The service progresses if some stream had an event within this time, ms. */
+const SERVICE_ACTIVE_WINDOW_MS = 400;
+/** Interval at which a running stream is checked, ms. */
+export const STALL_CHECK_INTERVAL_MS = 300;
 
 export function isStalled(
   nowMs: number,
-  /** Last event of the stream, or its start. */
+  /** Time of the stream's last event, or of its start. */
   lastEventAtMs: number,
-  /** Last event of any stream of the service. */
+  /** Time of the last event of any stream of the service. */
   serviceEventAtMs: number,
 ): boolean {
-  if (nowMs - lastEventAtMs < STALLED_MS) return false;
-  return nowMs - serviceEventAtMs < FRESH_MS;
+  if (nowMs - lastEventAtMs < STALL_TIMEOUT_MS) return false;
+  return nowMs - serviceEventAtMs < SERVICE_ACTIVE_WINDOW_MS;
 }
--- a/src/direct/held-stream.ts
+++ b/src/direct/stream-buffer.ts
@@ -1,36 +1,36 @@
 /**
- * Holds a stream's bytes, and its end behind them, while its caller doesn't
- * read. The HTTP client isn't paused for that: a connection that ends while its
- * answer is paused fails an assertion of the client outside of any request
- * (undici 7.30.2, answers that aren't kept alive), and the whole process ends.
+ * Buffers the chunks and the end of a stream while its caller doesn't read. The
+ * HTTP client itself isn't paused: if a connection ends while its response is
+ * paused, an assertion of the client fails outside of any request and ends the
+ * process (undici 7.30.2, responses without keep-alive).
  */
 
-export interface HeldStreamOptions {
+export interface StreamBufferOptions {
   readonly onData: (chunk: Buffer) => void;
   /** Called once, after the last chunk. */
   readonly onEnd: () => void;
 }
 
-export class HeldStream {
+export class StreamBuffer {
   private readonly chunks: Buffer[] = [];
-  private waiting = 0;
+  private bufferedSize = 0;
   private isPaused = false;
   private hasEnded = false;
 
-  private constructor(private readonly options: HeldStreamOptions) {}
+  private constructor(private readonly options: StreamBufferOptions) {}
 
-  static create(options: HeldStreamOptions): HeldStream {
-    return new HeldStream(options);
+  static create(options: StreamBufferOptions): StreamBuffer {
+    return new StreamBuffer(options);
   }
 
-  /** Bytes that wait for the caller. */
-  get bytes(): number {
-    return this.waiting;
+  /** Number of buffered bytes. */
+  get bufferedBytes(): number {
+    return this.bufferedSize;
   }
 
   push(chunk: Buffer): void {
     this.chunks.push(chunk);
-    this.waiting += chunk.length;
+    this.bufferedSize += chunk.length;
     this.flush();
   }
 
@@ -53,7 +53,7 @@
     while (!this.isPaused) {
       const chunk = this.chunks.shift();
       if (chunk === undefined) break;
-      this.waiting -= chunk.length;
+      this.bufferedSize -= chunk.length;
       this.options.onData(chunk);
     }
     if (this.isPaused || !this.hasEnded) return;
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -1,63 +1,72 @@
-/** Types of the direct path: from the caller over one entry to a runner. */
+/**
+ * Types of the direct path, on which an entry forwards requests to runners over
+ * HTTP.
+ */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Route } from "../routing/types.js";
 import type { EndMark } from "../shared/answer-end.js";
 
 export type { EndMark };
 
-/** Header names and values, in the order in which they are sent. */
+/** Header names and values in the order in which they are sent. */
 export type HeaderPairs = readonly (readonly [name: string, value: string])[];
 
-/** What the platform's headers say of a caller's request. */
+/** Fields that the platform's headers carry on a caller's request. */
 export interface CallFields {
-  /** New for every attempt of the caller. */
+  /** The caller uses a new id for each of its attempts. */
   readonly attemptId: string | undefined;
-  /** How long the caller waits, ms. */
+  /** Time that the caller waits for the response, ms. */
   readonly deadlineMs: number | undefined;
   readonly credential: string | undefined;
   readonly promptTokens: number;
-  /** Most tokens of the answer. */
+  /** Maximum number of tokens of the response. */
   readonly outputTokens: number;
-  /** Last event of the stream that the caller has; 0 for none. */
+  /**
+   * Id of the last event of the stream that the caller has received; 0 for
+   * none.
+   */
   readonly lastEventId: number;
 }
 
-/** What the platform's headers say of a runner's answer. */
+/** Fields that the platform's headers carry on a runner's response. */
 export interface AnswerFields {
-  /** The attempt that the answer belongs to. */
+  /** Id of the attempt that the response belongs to. */
   readonly attemptId: string | undefined;
-  /** The runner states that it has not run the request and never will. */
+  /** The runner states that it hasn't run the request and never will. */
   readonly isNotRun: boolean;
   readonly signature: string | undefined;
-  /** Id of the runner that a refusal names for its cause. */
+  /** Id of the runner that a refusal names as its cause. */
   readonly faultyRunner: string | undefined;
 }
 
-/** What an entry sets on a request that goes to a runner. */
+/** Fields that an entry sets on a request to a runner. */
 export interface ForwardFields {
   /** Id of the only runner that may run it. */
   readonly runner: string;
   readonly account: string | undefined;
   readonly leftMs: number;
-  /** Event after which a broken stream goes on. */
+  /** Id of the event after which an interrupted stream resumes. */
   readonly resumeAfter: number | undefined;
 }
 
-/** Translation of headers; the adapter of a platform provides it. */
+/** Translates headers; implemented by the platform's adapter. */
 export interface HeaderCodec {
   readonly readCall: (headers: IncomingHttpHeaders) => CallFields;
   readonly readAnswer: (
     status: number,
     headers: IncomingHttpHeaders,
   ) => AnswerFields;
-  /** Takes the caller's end-to-end headers; none of ours pass through. */
+  /**
+   * Builds the headers of a request to a runner from the caller's end-to-end
+   * headers, without the caller's own values of platform headers.
+   */
   readonly forward: (
     headers: HeaderPairs,
     fields: ForwardFields,
   ) => HeaderPairs;
 }
 
-/** A caller's request, read whole and allowed by the configuration. */
+/** A caller's request, completely read and permitted by the configuration. */
 export interface Call {
   readonly id: string;
   readonly method: string;
@@ -67,19 +76,22 @@
   readonly body: Buffer;
   readonly fields: CallFields;
   readonly route: Route;
-  /** Of the configuration that decided route, account and service. */
+  /**
+   * Version of the configuration from which route, account and service were
+   * resolved.
+   */
   readonly version: number;
   readonly service: string;
   readonly account: string | undefined;
   readonly priority: number;
   /** Monotonic time of arrival, ms. */
   readonly arrivedAtMs: number;
-  /** Monotonic time at which the final answer is due, ms. */
-  readonly dueAtMs: number;
+  /** Monotonic deadline of the response, ms. */
+  readonly deadlineAtMs: number;
 }
 
-/** A whole answer of a runner, as far as its end was marked. */
-export interface WholeAnswer {
+/** A runner's response, complete as far as its end was marked. */
+export interface CompleteResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
@@ -88,33 +100,36 @@
 
 /** How one attempt at one runner ended. */
 export type AttemptEnd =
-  | { readonly kind: "answered"; readonly answer: WholeAnswer }
-  /** A stream came to its end and was passed on whole. */
+  | { readonly kind: "answered"; readonly answer: CompleteResponse }
+  /** A stream has ended and was forwarded completely. */
   | { readonly kind: "streamed"; readonly endMark: EndMark }
-  /** The runner says that it has not run the request. */
+  /** The runner states that it hasn't run the request. */
   | {
       readonly kind: "not-run";
       readonly status: number;
-      /** Id of another runner of the group, whose fault it is. */
+      /** Id of another runner of the group that caused the refusal. */
       readonly faultyRunner: string | undefined;
     }
-  /** No connection: the request never left this process. */
+  /** There was no connection: the request never left this process. */
   | { readonly kind: "unsent"; readonly reason: string }
   /**
-   * Sent, and no whole answer of its own came back. `isLost`: the connection
-   * ended, as it does when the runner crashes.
+   * The request was sent, but no complete response to it came back. `isLost`:
+   * the connection was lost, as when the runner crashes.
    */
   | {
       readonly kind: "broken";
       readonly reason: string;
       readonly isLost: boolean;
     }
-  /** Given up by this process: caller gone, time over, or stream stalled. */
+  /**
+   * Aborted by this process: the caller has disconnected, the deadline has
+   * passed, or the stream stalled or moves.
+   */
   | {
       readonly kind: "given-up";
       readonly wasSent: boolean;
       readonly reason: GiveUpReason;
     };
 
-/** `slow`: the stream goes on at a runner that isn't. */
+/** `slow`: the stream continues at a runner that isn't slow. */
 export type GiveUpReason = "caller-gone" | "overdue" | "stalled" | "slow";
--- a/tests/direct/attempt.test.ts
+++ b/tests/direct/attempt.test.ts
@@ -8,20 +8,19 @@
 import { answerRaw, eventOf } from "../../standins/signing-runner.js";
 import { describe, it } from "../support/describe.js";
 
-const ATTEMPT = "attempt-1";
+const ATTEMPT_ID = "attempt-1";
 const MAXIMUM_BYTES = 1024;
-/** After the event, ms: the answer is paused by then. */
+/** Delay after the event, ms: the response is paused by then. */
 const END_AFTER_MS = 30;
-/** After the connection's end, ms. */
+/** Delay after the end of the connection, ms. */
 const RESUME_AFTER_MS = 100;
 
-describe("an attempt whose answer is paused", () => {
-  it("takes the end of its connection", async () => {
-    // Callers: all connections of the entry are gone, and with them every answer
-    // under way; those without length or chunks end in good order. One caller
-    // read its stream late, so that the answer was paused; its runner ended the
-    // connection, which was the stream's end, and the client library's assertion
-    // that nothing is paused failed outside of any request.
+describe("attempt with a paused response", () => {
+  it("ends cleanly when its connection ends", async () => {
+    // Guards against a crash of the entry, which cuts the responses of all its
+    // callers. If a caller reads its stream slowly and the runner ends the
+    // stream by closing the connection, pausing the HTTP client makes its
+    // assertion that nothing is paused fail outside of any request.
     const faults: string[] = [];
     const onFault = (error: Error): void => {
       faults.push(error.message);
@@ -29,7 +28,7 @@
     process.on("uncaughtException", onFault);
     const server = createServer((request) => {
       const signed = {
-        [headerNames.attemptId]: ATTEMPT,
+        [headerNames.attemptId]: ATTEMPT_ID,
         [headerNames.signature]: "signature",
       };
       answerRaw("", eventOf(1))({ request, signed });
@@ -40,7 +39,7 @@
     const attempt = Attempt.create({
       connections,
       request: { method: "POST", path: "/" },
-      attemptId: ATTEMPT,
+      attemptId: ATTEMPT_ID,
       codec: headerCodec,
       sink: {
         onHead: () => undefined,
@@ -53,14 +52,14 @@
         },
         onEnd: () => undefined,
       },
-      maximumBytes: MAXIMUM_BYTES,
+      maximumBufferedBytes: MAXIMUM_BYTES,
     });
-    const late = setTimeout(() => {
+    const overdueTimer = setTimeout(() => {
       attempt.giveUp("overdue");
     }, 1000);
     const { kind } = await attempt.run();
-    clearTimeout(late);
-    connections.endAll();
+    clearTimeout(overdueTimer);
+    connections.abortAll();
     process.off("uncaughtException", onFault);
     assert.equal(faults, []);
     assert.is(kind, "streamed");
--- a/tests/direct/circuit-breaker.test.ts
+++ b/tests/direct/circuit-breaker.test.ts
@@ -4,14 +4,17 @@
 
 const RUNNER = "r1";
 
-function refusing(): { breaker: CircuitBreaker; at: (ms: number) => void } {
+function openBreaker(): {
+  breaker: CircuitBreaker;
+  setNowMs: (ms: number) => void;
+} {
   let nowMs = 1000;
   const breaker = CircuitBreaker.create(() => nowMs);
   for (let refusal = 0; refusal < 4; refusal += 1) breaker.onRefused(RUNNER);
-  const at = (ms: number): void => {
+  const setNowMs = (ms: number): void => {
     nowMs = ms;
   };
-  return { breaker, at };
+  return { breaker, setNowMs };
 }
 
 describe("circuit breaker", () => {
@@ -21,41 +24,41 @@
       breaker.onRefused(RUNNER);
       breaker.onRefused(RUNNER);
       breaker.onAccepted();
-      assert.ok(breaker.mayStart());
+      assert.ok(breaker.tryStart());
     }
   });
 
-  it("lets one request at a time find out whether the service is back", () => {
-    // Everybody waits for the group to form; of those that try it out, each
-    // loses one of two attempts.
-    const { breaker, at } = refusing();
+  it("admits one trial request at a time while it is open", () => {
+    // While the group forms again, each trial request loses one of its two
+    // attempts, so trials have to be rare.
+    const { breaker, setNowMs } = openBreaker();
     assert.ok(breaker.isOpen);
-    assert.not.ok(breaker.mayStart());
-    at(1060);
-    assert.ok(breaker.mayStart());
-    assert.not.ok(breaker.mayStart());
+    assert.not.ok(breaker.tryStart());
+    setNowMs(1060);
+    assert.ok(breaker.tryStart());
+    assert.not.ok(breaker.tryStart());
     breaker.onRefused(RUNNER);
-    at(1120);
-    assert.ok(breaker.mayStart());
+    setNowMs(1120);
+    assert.ok(breaker.tryStart());
   });
 
-  it("closes with the first answer that begins", () => {
-    const { breaker } = refusing();
+  it("closes with the first accepted request", () => {
+    const { breaker } = openBreaker();
     breaker.onAccepted();
     assert.not.ok(breaker.isOpen);
-    assert.ok(breaker.mayStart());
+    assert.ok(breaker.tryStart());
   });
 
-  it("forgets the refusals of a runner that has started again, no others", () => {
-    // The service's only runner has refused and starts again. Its new life
-    // would have to wait for trials on account of the earlier one.
-    const { breaker } = refusing();
-    breaker.forget(RUNNER);
+  it("drops only the refusals of a restarted runner", () => {
+    // The service's only runner refuses and then restarts. Refusals of the
+    // earlier incarnation must not limit the new one to trial requests.
+    const { breaker } = openBreaker();
+    breaker.forgetRunner(RUNNER);
     assert.not.ok(breaker.isOpen);
     const other = "r2";
     for (let refusal = 0; refusal < 4; refusal += 1) breaker.onRefused(other);
     breaker.onRefused(RUNNER);
-    breaker.forget(RUNNER);
+    breaker.forgetRunner(RUNNER);
     assert.ok(breaker.isOpen);
   });
 });
--- a/tests/direct/event-splitter.test.ts
+++ b/tests/direct/event-splitter.test.ts
@@ -4,7 +4,7 @@
 import { describe, it } from "../support/describe.js";
 
 describe("event splitter", () => {
-  it("gives back every byte, whatever the cuts between chunks", () => {
+  it("preserves every byte however the chunks are split", () => {
     const events = [
       "id: 1\ndata: a\n\n",
       ": comment\r\n\r\n",
@@ -28,16 +28,17 @@
       }
       assert.equal(seen, events);
       assert.equal(ids, [1, undefined, 2, 3]);
-      assert.not.ok(splitter.hasRest);
+      assert.not.ok(splitter.hasPartialEvent);
     }
   });
 
-  it("holds back an event that was cut in the middle", () => {
-    // A runner dies inside an event: its part must not reach the caller, who
-    // would get it joined with the same event of the next runner.
+  it("holds back an incomplete event", () => {
+    // A runner crashes in the middle of an event. If the partial event were
+    // forwarded, the caller would receive it joined with the same event from
+    // the next runner.
     const splitter = EventSplitter.create();
     const events = splitter.push(Buffer.from("id: 1\n\nid: 2\ndata: ha"));
     assert.is(events.length, 1);
-    assert.ok(splitter.hasRest);
+    assert.ok(splitter.hasPartialEvent);
   });
 });
--- a/tests/direct/group-world.ts
+++ b/tests/direct/group-simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Three groups of ranks behind several entries, in virtual time: each group makes
- * its passes at its own pace, which falls with all streams that run in it. A group
- * may be slow, or refuse everything for a while.
+ * Simulates three groups of ranks behind several entries, in virtual time. Each
+ * group makes passes whose duration grows with the streams that run in it. The
+ * first group may be slow, or refuse all requests for a while.
  */
 import { VirtualTime } from "../../fuzz/virtual-time.js";
 import { RunnerPool, type Runner } from "../../src/direct/runner-pool.js";
@@ -10,45 +10,49 @@
 import { NO_GROUP } from "../../src/membership/runner-groups.js";
 import { unusedConnections } from "./unused-connections.js";
 
-export interface GroupWorldOptions {
+export interface GroupSimulationOptions {
   readonly seed: number;
   readonly entries: number;
   /** Whether entries know which runners form a group. */
   readonly knowsGroups: boolean;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
-  /** How many times as long a pass of the first group takes. */
+  /** Factor by which passes of the first group take longer. */
   readonly slowness: number;
-  /** The first group refuses between these times, ms. */
-  readonly refuses: { readonly fromMs: number; readonly toMs: number };
+  /** Period in which the first group refuses all requests, ms. */
+  readonly outage: { readonly fromMs: number; readonly toMs: number };
 }
 
-/** What callers got. */
+/**
+ * Results of the calls after the warm-up, and the refusals of the whole run.
+ */
 export interface GroupOutcome {
   readonly calls: number;
-  /** Whole, with no pause over the objective. */
+  /** Calls answered completely with no pause above the objective. */
   readonly inTime: number;
-  /** Attempts that a group refused which was out. */
+  /** Attempts refused by the group with the outage. */
   readonly refusals: number;
 }
 
 const GROUPS = 3;
-const RANKS = 12;
-const SLOTS = 7;
-const EVENTS = 19;
+const RANKS_PER_GROUP = 12;
+const SLOTS_PER_RANK = 7;
+const EVENTS_PER_STREAM = 19;
 const OBJECTIVE_MS = 150;
-const LEAST_PASS_MS = 40;
-/** What each stream adds to a pass of its group, ms. */
-const STREAM_MS = 1;
-const LENGTH_MS = 30_000;
-/** Limits are found within this time; callers count from then on, ms. */
-const SETTLING_MS = 8000;
-const MOST_ATTEMPTS = 2;
+const MINIMUM_PASS_MS = 40;
+/** Time that each stream adds to a pass of its group, ms. */
+const PASS_MS_PER_STREAM = 1;
+const DURATION_MS = 30_000;
+/**
+ * Time in which the concurrency limits settle; calls count from then on, ms.
+ */
+const WARM_UP_MS = 8000;
+const MAXIMUM_ATTEMPTS = 2;
 
 interface Stream {
   readonly entry: Entry;
   readonly runner: Runner;
-  readonly counts: boolean;
+  readonly isCounted: boolean;
   eventAtMs: number;
   events: number;
   isLate: boolean;
@@ -63,7 +67,7 @@
   return Number(address.split(".")[2]);
 }
 
-export class GroupWorld {
+export class GroupSimulation {
   private readonly time = VirtualTime.create(0);
   private readonly random: Random;
   private readonly entries: readonly Entry[];
@@ -74,21 +78,21 @@
   private inTime = 0;
   private refusals = 0;
 
-  private constructor(private readonly options: GroupWorldOptions) {
+  private constructor(private readonly options: GroupSimulationOptions) {
     this.random = createRandom(options.seed);
     this.entries = Array.from({ length: options.entries }, () =>
       this.startEntry(),
     );
   }
 
-  static create(options: GroupWorldOptions): GroupWorld {
-    return new GroupWorld(options);
+  static create(options: GroupSimulationOptions): GroupSimulation {
+    return new GroupSimulation(options);
   }
 
-  play(): GroupOutcome {
-    for (let group = 0; group < GROUPS; group += 1) this.nextPass(group);
-    this.nextCall();
-    this.time.advance(LENGTH_MS);
+  run(): GroupOutcome {
+    for (let group = 0; group < GROUPS; group += 1) this.schedulePass(group);
+    this.scheduleCall();
+    this.time.advance(DURATION_MS);
     const { calls, inTime, refusals } = this;
     return { calls, inTime, refusals };
   }
@@ -102,13 +106,13 @@
       dataCentre: "here",
       isSlow: () => false,
     });
-    for (let at = 0; at < GROUPS * RANKS; at += 1) {
+    for (let index = 0; index < GROUPS * RANKS_PER_GROUP; index += 1) {
       pool.set({
-        id: `r${at}`,
+        id: `r${index}`,
         service: "model",
-        address: `10.0.${at % GROUPS}.${at}:80`,
+        address: `10.0.${index % GROUPS}.${index}:80`,
         dataCentre: "here",
-        slots: SLOTS,
+        slots: SLOTS_PER_RANK,
         isLeaving: false,
         heartbeat: 1,
         startedAtMs: undefined,
@@ -125,41 +129,41 @@
     return { pool, groups };
   }
 
-  private nextCall(): void {
+  private scheduleCall(): void {
     const waitMs = (-Math.log(1 - this.random()) * 1000) / this.options.rate;
     this.time.after(waitMs, () => {
-      this.call();
-      this.nextCall();
+      this.placeCall();
+      this.scheduleCall();
     });
   }
 
-  private call(): void {
+  private placeCall(): void {
     const { entries } = this;
     const entry = entries[Math.floor(this.random() * entries.length)];
-    const counts = this.time.nowMs >= SETTLING_MS;
-    if (counts) this.calls += 1;
+    const isCounted = this.time.nowMs >= WARM_UP_MS;
+    if (isCounted) this.calls += 1;
     const tried = new Set<Runner>();
-    let runner = entry.groups.runnerToStart();
-    while (runner !== undefined && tried.size < MOST_ATTEMPTS) {
+    let runner = entry.groups.runnerForNewRequest();
+    while (runner !== undefined && tried.size < MAXIMUM_ATTEMPTS) {
       entry.pool.start(runner);
-      if (!this.refuses(groupAt(runner.server.address))) {
-        this.begin(entry, runner, counts);
+      if (!this.isRefusing(groupAt(runner.server.address))) {
+        this.startStream(entry, runner, isCounted);
         return;
       }
       this.refusals += 1;
       entry.pool.release(runner, "full");
       entry.groups.onRefused(runner);
       tried.add(runner);
-      runner = entry.groups.runnerToMoveTo(tried);
+      runner = entry.groups.runnerForMovedRequest(tried);
     }
   }
 
-  private begin(entry: Entry, runner: Runner, counts: boolean): void {
+  private startStream(entry: Entry, runner: Runner, isCounted: boolean): void {
     const eventAtMs = this.time.nowMs;
     const stream = {
       entry,
       runner,
-      counts,
+      isCounted,
       eventAtMs,
       events: 0,
       isLate: false,
@@ -167,19 +171,20 @@
     this.streams[groupAt(runner.server.address)].add(stream);
   }
 
-  private refuses(group: number): boolean {
-    const { fromMs, toMs } = this.options.refuses;
+  private isRefusing(group: number): boolean {
+    const { fromMs, toMs } = this.options.outage;
     const { nowMs } = this.time;
     return group === 0 && nowMs >= fromMs && nowMs < toMs;
   }
 
-  private nextPass(group: number): void {
+  private schedulePass(group: number): void {
     const slowness = group === 0 ? this.options.slowness : 1;
     const passMs =
-      slowness * (LEAST_PASS_MS + STREAM_MS * this.streams[group].size);
+      slowness *
+      (MINIMUM_PASS_MS + PASS_MS_PER_STREAM * this.streams[group].size);
     this.time.after(passMs, () => {
       for (const stream of this.streams[group]) this.onEvent(stream);
-      this.nextPass(group);
+      this.schedulePass(group);
     });
   }
 
@@ -194,9 +199,9 @@
       entry.groups.onPause(runner, pauseMs, OBJECTIVE_MS);
       stream.isLate ||= pauseMs > OBJECTIVE_MS;
     }
-    if (stream.events < EVENTS) return;
+    if (stream.events < EVENTS_PER_STREAM) return;
     this.streams[groupAt(runner.server.address)].delete(stream);
     entry.pool.release(runner, "served");
-    if (stream.counts && !stream.isLate) this.inTime += 1;
+    if (stream.isCounted && !stream.isLate) this.inTime += 1;
   }
 }
--- a/tests/direct/groups-load.test.ts
+++ b/tests/direct/groups-load.test.ts
@@ -1,23 +1,23 @@
 import * as assert from "uvu/assert";
 import { describe, it } from "../support/describe.js";
 import {
-  GroupWorld,
+  GroupSimulation,
   type GroupOutcome,
-  type GroupWorldOptions,
-} from "./group-world.js";
+  type GroupSimulationOptions,
+} from "./group-simulation.js";
 
 const SEEDS = [1, 2, 3];
 const ENTRIES = 6;
 const MANY_ENTRIES = 16;
-const NEVER = { fromMs: 0, toMs: 0 };
+const NO_OUTAGE = { fromMs: 0, toMs: 0 };
 const OUTAGE = { fromMs: 10_000, toMs: 16_000 };
 
-function playAll(
-  options: Omit<GroupWorldOptions, "seed" | "entries">,
+function runAll(
+  options: Omit<GroupSimulationOptions, "seed" | "entries">,
   entries = ENTRIES,
 ): readonly GroupOutcome[] {
   return SEEDS.map((seed) =>
-    GroupWorld.create({ ...options, entries, seed }).play(),
+    GroupSimulation.create({ ...options, entries, seed }).run(),
   );
 }
 
@@ -27,45 +27,52 @@
 }
 
 describe("a service of three groups", () => {
-  it("serves nine callers in ten in time although one group is slow", () => {
-    // Every entry gave each group the same, so all streams of the slow one were
-    // late, and the limit that followed from them held the good groups back.
-    const load = { rate: 70, slowness: 2, refuses: NEVER };
-    const served = shareInTime(playAll({ ...load, knowsGroups: true }));
+  it("serves 90 % of the callers in time although one group is slow", () => {
+    // If every entry loads all groups equally, all streams of the slow group
+    // are late, and a limit derived from them throttles the healthy groups too.
+    const load = { rate: 70, slowness: 2, outage: NO_OUTAGE };
+    const served = shareInTime(runAll({ ...load, knowsGroups: true }));
     assert.ok(served >= 0.9, String(served));
   });
 
   it("serves more callers in time than without knowledge of groups", () => {
-    // More than all groups can serve in time, one of them slow.
-    const load = { rate: 170, slowness: 2, refuses: NEVER };
-    const known = shareInTime(playAll({ ...load, knowsGroups: true }));
-    const unknown = shareInTime(playAll({ ...load, knowsGroups: false }));
+    // The load exceeds what all groups can serve in time, and one of them is
+    // slow.
+    const load = { rate: 170, slowness: 2, outage: NO_OUTAGE };
+    const known = shareInTime(runAll({ ...load, knowsGroups: true }));
+    const unknown = shareInTime(runAll({ ...load, knowsGroups: false }));
     assert.ok(known > unknown, `${known} ${unknown}`);
   });
 
-  it("sends next to nothing to a group that refuses, and uses the others", () => {
-    // A request that is refused loses one of its attempts, and the service one
-    // of its repeats.
-    const load = { rate: 80, slowness: 1, refuses: OUTAGE };
-    const outcomes = playAll({ ...load, knowsGroups: true });
+  it("sends few requests to a refusing group and uses the others", () => {
+    // A refused request loses one of its attempts, and the service one of its
+    // retries.
+    const load = { rate: 80, slowness: 1, outage: OUTAGE };
+    const outcomes = runAll({ ...load, knowsGroups: true });
     for (const { refusals, calls } of outcomes) {
       assert.ok(refusals < calls / 10, String(refusals));
     }
     assert.ok(shareInTime(outcomes) >= 0.9);
   });
 
-  it("loses nothing where all groups are alike", () => {
-    const load = { rate: 100, slowness: 1, refuses: NEVER };
-    const served = shareInTime(playAll({ ...load, knowsGroups: true }));
+  it("serves 90 % of the callers in time if all groups are alike", () => {
+    const load = { rate: 100, slowness: 1, outage: NO_OUTAGE };
+    const served = shareInTime(runAll({ ...load, knowsGroups: true }));
     assert.ok(served >= 0.9, String(served));
   });
 
   it("serves as many in time through many entries as through a few", () => {
-    // Each entry lets in more step by step; sixteen steps at once took a group
-    // past the objective and back, and half as many callers were served in time.
-    const load = { rate: 130, slowness: 1, refuses: NEVER, knowsGroups: true };
-    const few = shareInTime(playAll(load));
-    const many = shareInTime(playAll(load, MANY_ENTRIES));
+    // Each entry raises its limit in steps. The steps of sixteen entries at
+    // once drive a group past the objective and back, and half as many callers
+    // are served in time.
+    const load = {
+      rate: 130,
+      slowness: 1,
+      outage: NO_OUTAGE,
+      knowsGroups: true,
+    };
+    const few = shareInTime(runAll(load));
+    const many = shareInTime(runAll(load, MANY_ENTRIES));
     assert.ok(many >= few * 0.9, `${many} ${few}`);
   });
 });
--- a/tests/direct/next-step.test.ts
+++ b/tests/direct/next-step.test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import {
-  LEAST_TIME_LEFT_MS,
-  mayMove,
+  MINIMUM_RETRY_TIME_MS,
+  tryMoveStream,
   nextStep,
   type AttemptHistory,
 } from "../../src/direct/next-step.js";
@@ -9,12 +9,12 @@
 import { errorTable } from "../../src/internal.js";
 import { describe, it } from "../support/describe.js";
 
-const once = {
+const nonIdempotent = {
   kind: "non-idempotent",
   isResumable: false,
   maximumAttempts: 2,
 } as const;
-const often = {
+const idempotent = {
   kind: "idempotent",
   isResumable: false,
   maximumAttempts: 2,
@@ -39,13 +39,13 @@
 
 function historyOf(fields: Partial<AttemptHistory>): AttemptHistory {
   return {
-    route: once,
-    sent: 1,
-    unsent: 0,
-    leftMs: 1000,
-    hasStarted: false,
+    route: nonIdempotent,
+    sentAttempts: 1,
+    unsentAttempts: 0,
+    remainingMs: 1000,
+    hasStreamStarted: false,
     mayHaveRun: true,
-    mayRepeat: () => true,
+    tryTakeRetry: () => true,
     ...fields,
   };
 }
@@ -62,116 +62,140 @@
 }
 
 describe("move of a running stream", () => {
-  it("needs a stream that may go on elsewhere, and an attempt left", () => {
-    assert.ok(mayMove(historyOf({ route: resumable, sent: 0 })));
-    assert.not.ok(mayMove(historyOf({ route: resumable, sent: 1 })));
-    assert.not.ok(mayMove(historyOf({ route: once, sent: 0 })));
+  it("requires a resumable stream and a remaining attempt", () => {
+    assert.ok(tryMoveStream(historyOf({ route: resumable, sentAttempts: 0 })));
+    assert.not.ok(
+      tryMoveStream(historyOf({ route: resumable, sentAttempts: 1 })),
+    );
+    assert.not.ok(
+      tryMoveStream(historyOf({ route: nonIdempotent, sentAttempts: 0 })),
+    );
   });
 
-  it("takes its repeat out of the allowance before the stream is given up", () => {
-    // Given up first and refused then, a stream that ran well would break off.
-    const mayRepeat = (): boolean => false;
-    const history = historyOf({ route: resumable, sent: 0, mayRepeat });
-    assert.not.ok(mayMove(history));
+  it("takes its retry from the budget before the stream is given up", () => {
+    // If the retry were refused after the attempt was given up, a stream that
+    // ran well would break off.
+    const tryTakeRetry = (): boolean => false;
+    const history = historyOf({
+      route: resumable,
+      sentAttempts: 0,
+      tryTakeRetry,
+    });
+    assert.not.ok(tryMoveStream(history));
     const end: AttemptEnd = { kind: "given-up", wasSent: true, reason: "slow" };
     assert.is(
-      outcomeOf(end, historyOf({ route: resumable, mayRepeat })),
+      outcomeOf(end, historyOf({ route: resumable, tryTakeRetry })),
       "repeat",
     );
   });
 });
 
 describe("next step after an attempt", () => {
-  describe("of a request that may not be repeated", () => {
-    it("never sends it again when its connection broke", () => {
-      // The runner got the request and the connection is reset: nobody can
-      // tell whether it ran. A second send could draft the order twice.
+  describe("of a non-idempotent request", () => {
+    it("doesn't resend it after its connection was lost", () => {
+      // The runner may have received the request before the connection was
+      // reset, so whether it ran is unknown. Sending it again could place the
+      // order twice.
       assert.is(outcomeOf(broken, historyOf({})), "unknown");
     });
 
-    it("sends it elsewhere when the runner says that it has not run", () => {
+    it("retries it elsewhere if the runner states that it hasn't run it", () => {
       assert.is(outcomeOf(notRun, historyOf({ mayHaveRun: false })), "repeat");
     });
 
-    it("says not run when every runner said so", () => {
-      const history = historyOf({ mayHaveRun: false, sent: 2 });
+    it("reports not-run if every runner stated so", () => {
+      const history = historyOf({ mayHaveRun: false, sentAttempts: 2 });
       assert.is(outcomeOf(notRun, history), "not-run");
     });
 
-    it("passes on the runner's own failure", () => {
+    it("forwards the runner's error response", () => {
       assert.is(outcomeOf(answerOf(500), historyOf({})), "deliver");
     });
 
-    it("doesn't claim that it has not run when its time is over", () => {
+    it("doesn't report not-run after its deadline", () => {
       assert.is(outcomeOf(overdue, historyOf({})), "broken-off");
     });
   });
 
   describe("of an idempotent request", () => {
-    it("tries another runner after a failure", () => {
-      const history = historyOf({ route: often });
+    it("retries at another runner after a failure", () => {
+      const history = historyOf({ route: idempotent });
       assert.is(outcomeOf(answerOf(500), history), "repeat");
       assert.is(outcomeOf(broken, history), "repeat");
     });
 
-    it("keeps to the attempts that the route allows", () => {
-      const history = historyOf({ route: often, sent: 2 });
+    it("respects the route's maximum number of attempts", () => {
+      const history = historyOf({ route: idempotent, sentAttempts: 2 });
       assert.is(outcomeOf(answerOf(500), history), "deliver");
       assert.is(outcomeOf(broken, history), "unknown");
     });
 
-    it("doesn't say not run after an attempt that may have run", () => {
-      // First attempt: connection lost after sending. Second: refused as full.
-      // The refusal covers the second one only.
-      const history = historyOf({ route: often, sent: 2, mayHaveRun: true });
+    it("doesn't report not-run after an attempt that may have run", () => {
+      // The first attempt lost its connection after sending, the second was
+      // refused as full. The refusal covers only the second one.
+      const history = historyOf({
+        route: idempotent,
+        sentAttempts: 2,
+        mayHaveRun: true,
+      });
       assert.is(outcomeOf(notRun, history), "unknown");
     });
 
-    it("takes no repeat when the allowance is used up", () => {
-      const history = historyOf({ route: often, mayRepeat: () => false });
+    it("doesn't retry if the retry budget is used up", () => {
+      const history = historyOf({
+        route: idempotent,
+        tryTakeRetry: () => false,
+      });
       assert.is(outcomeOf(answerOf(500), history), "deliver");
     });
 
-    it("takes none when too little time is left to be of use", () => {
-      const leftMs = LEAST_TIME_LEFT_MS - 1;
-      const history = historyOf({ route: often, leftMs });
+    it("doesn't retry if too little time is left", () => {
+      const remainingMs = MINIMUM_RETRY_TIME_MS - 1;
+      const history = historyOf({ route: idempotent, remainingMs });
       assert.is(outcomeOf(broken, history), "unknown");
     });
   });
 
   describe("of a stream", () => {
-    it("goes on elsewhere where the route allows it", () => {
-      const history = historyOf({ route: resumable, hasStarted: true });
+    it("resumes at another runner if the route allows it", () => {
+      const history = historyOf({ route: resumable, hasStreamStarted: true });
       assert.is(outcomeOf(broken, history), "repeat");
     });
 
-    it("ends visibly broken where it can't go on", () => {
+    it("is broken off if it can't be resumed", () => {
       const fixed = { ...resumable, isResumable: false };
-      const history = historyOf({ route: fixed, hasStarted: true });
+      const history = historyOf({ route: fixed, hasStreamStarted: true });
       assert.is(outcomeOf(broken, history), "break-off");
     });
 
-    it("ends visibly broken where another runner answers with a failure", () => {
-      // The caller has the first part of the stream. A failure of the runner
-      // that was to go on was taken for an answer to pass on, which can't be
-      // done behind events: the request ended in an exception, was counted as
-      // answered, and kept its place at the gate for ever.
+    it("is broken off if the next runner responds with an error", () => {
+      // The caller has received the first events of the stream. If the error
+      // response of the next runner is forwarded after them, the request ends
+      // in an exception, is counted as answered and keeps its admission for
+      // ever.
       for (const status of [400, 500]) {
         const answer = { status, headers: {}, body: Buffer.alloc(0) };
         const end: AttemptEnd = {
           kind: "answered",
           answer: { ...answer, endMark: "length" },
         };
-        const history = { route: resumable, sent: 2, hasStarted: true };
+        const history = {
+          route: resumable,
+          sentAttempts: 2,
+          hasStreamStarted: true,
+        };
         assert.is(nextStep(end, historyOf(history)).kind, "break-off");
       }
     });
 
-    it("moves a stalled one, and fails it when it can't be moved", () => {
+    it("is moved if it stalls, and fails if it can't be moved", () => {
       const stalled: AttemptEnd = { ...overdue, reason: "stalled" };
       const history = historyOf({ route: resumable });
       assert.is(outcomeOf(stalled, history), "repeat");
-      assert.is(outcomeOf(stalled, { ...history, sent: 2 }), "broken-off");
+      assert.is(
+        outcomeOf(stalled, { ...history, sentAttempts: 2 }),
+        "broken-off",
+      );
     });
   });
 });
--- /dev/null
+++ b/tests/direct/request-scheduler.test.ts
@@ -0,0 +1,317 @@
+import * as assert from "uvu/assert";
+import {
+  createRandom,
+  failure,
+  ignoreEvents,
+  type Refusal,
+} from "../../src/internal.js";
+import type { IsSlow } from "../../src/direct/runner-pool.js";
+import {
+  RequestScheduler,
+  type AdmittedRequest,
+} from "../../src/direct/request-scheduler.js";
+import type { GroupOf } from "../../src/direct/service-groups.js";
+import { NO_GROUP } from "../../src/membership/runner-groups.js";
+import type { BackendServer } from "../../src/membership/types.js";
+import type { Call } from "../../src/direct/types.js";
+import { describe, it } from "../support/describe.js";
+import { routeOf } from "../routing/support.js";
+import { unusedConnections } from "./unused-connections.js";
+
+const SLOTS = 4;
+function schedulerWith(
+  runners: number,
+  isSlow: IsSlow = () => false,
+  groupOf: GroupOf = () => NO_GROUP,
+): RequestScheduler {
+  const scheduler = RequestScheduler.create({
+    now: () => performance.now(),
+    random: createRandom(5),
+    emit: ignoreEvents,
+    dataCentre: "here",
+    connect: () => unusedConnections,
+    isSlow,
+    groupOf,
+  });
+  for (let index = 0; index < runners; index += 1) {
+    scheduler.setServer({
+      id: `r${index}`,
+      service: "model",
+      address: `10.0.0.${index}:80`,
+      dataCentre: index === 0 ? "here" : "there",
+      slots: SLOTS,
+      isLeaving: false,
+      heartbeat: 1,
+      startedAtMs: undefined,
+    });
+  }
+  return scheduler;
+}
+
+function callOf(id: string, fields: Partial<Call> = {}): Call {
+  const arrivedAtMs = performance.now();
+  return {
+    id,
+    method: "POST",
+    target: "/",
+    headers: [],
+    body: Buffer.alloc(0),
+    fields: {
+      attemptId: id,
+      deadlineMs: 2000,
+      credential: undefined,
+      promptTokens: 100,
+      outputTokens: 10,
+      lastEventId: 0,
+    },
+    route: routeOf({ kind: "stream", objectiveMs: 60 }),
+    version: 1,
+    service: "model",
+    account: "account",
+    priority: 1,
+    arrivedAtMs,
+    deadlineAtMs: arrivedAtMs + 2000,
+    ...fields,
+  };
+}
+
+type AdmitResult =
+  | { readonly kind: "admitted"; readonly admitted: AdmittedRequest }
+  | { readonly kind: "refused"; readonly refusal: Refusal };
+
+async function admit(
+  scheduler: RequestScheduler,
+  call: Call,
+): Promise<AdmitResult> {
+  const entered = await scheduler.admit(call);
+  return entered.caseOf<AdmitResult>({
+    Left: (refusal) => ({ kind: "refused", refusal }),
+    Right: (admitted) => ({ kind: "admitted", admitted }),
+  });
+}
+
+describe("request scheduler", () => {
+  it("admits or refuses every request of a burst", async () => {
+    // Ten times as many requests as there are slots arrive at once, and each
+    // response takes 20 ms. Every caller must get a runner or a refusal, and a
+    // refusal must say when to retry.
+    const scheduler = schedulerWith(3);
+    let most = 0;
+    let running = 0;
+    const results = await Promise.all(
+      Array.from({ length: 120 }, async (_, index) => {
+        const result = await admit(scheduler, callOf(`c${index}`));
+        if (result.kind === "refused") return result;
+        running += 1;
+        most = Math.max(most, running);
+        await new Promise((resolve) => {
+          setTimeout(resolve, 20);
+        });
+        running -= 1;
+        scheduler.release(result.admitted, "served");
+        scheduler.finish(result.admitted, 20);
+        return result;
+      }),
+    );
+    const refused = results.filter((result) => result.kind === "refused");
+    assert.ok(refused.length > 0 && refused.length < results.length);
+    assert.ok(refused.every(({ refusal }) => refusal.retryAfterMs > 0));
+    assert.ok(
+      refused.every(({ refusal }) => refusal.error.entry.outcome === "not-run"),
+    );
+    assert.ok(most <= 3 * SLOTS, String(most));
+    assert.is(scheduler.waitingCount, 0);
+    await scheduler.close();
+  });
+
+  it("refuses at once when the service has no runner", async () => {
+    const scheduler = schedulerWith(0);
+    const result = await admit(scheduler, callOf("c"));
+    assert.is(result.kind, "refused");
+    await scheduler.close();
+  });
+
+  it("avoids a slow runner while others have free slots", async () => {
+    // One of three ranks is slow. Requests of its own there would delay all
+    // streams of the group, including those at the other ranks.
+    const scheduler = schedulerWith(3, (address) => address === "10.0.0.0:80");
+    for (let index = 0; index < 4; index += 1) {
+      const result = await admit(scheduler, callOf(`c${index}`));
+      assert.is(result.kind, "admitted");
+      if (result.kind === "refused") continue;
+      assert.is.not(result.admitted.runner.server.id, "r0");
+      assert.not.ok(scheduler.hasFasterRunner(result.admitted, new Set()));
+    }
+    await scheduler.close();
+  });
+
+  it("queues requests while every runner refuses", async () => {
+    // A group has lost a rank and all its runners refuse. A caller sent there
+    // loses both attempts within milliseconds; most callers are on a retry
+    // already and don't come back.
+    const scheduler = schedulerWith(4);
+    const tried: AdmittedRequest[] = [];
+    for (let index = 0; index < 4; index += 1) {
+      const result = await admit(scheduler, callOf(`c${index}`));
+      assert.is(result.kind, "admitted");
+      if (result.kind === "refused") continue;
+      tried.push(result.admitted);
+      scheduler.release(result.admitted, "full");
+      scheduler.finish(result.admitted, undefined);
+    }
+    assert.ok(scheduler.isUnavailable("model"));
+    const waiting = [4, 5, 6].map((index) =>
+      admit(scheduler, callOf(`c${index}`)),
+    );
+    assert.is(scheduler.waitingCount, 3);
+    scheduler.onAccepted(tried[0]);
+    scheduler.setServer({
+      id: "r9",
+      service: "model",
+      address: "10.0.0.9:80",
+      dataCentre: "here",
+      slots: SLOTS,
+      isLeaving: false,
+      heartbeat: 1,
+      startedAtMs: undefined,
+    });
+    const results = await Promise.all(waiting);
+    assert.ok(results.every(({ kind }) => kind === "admitted"));
+    await scheduler.close();
+  });
+
+  it("uses slow runners if there are no others", async () => {
+    const scheduler = schedulerWith(2, () => true);
+    const result = await admit(scheduler, callOf("c"));
+    assert.is(result.kind, "admitted");
+    if (result.kind === "admitted") {
+      assert.not.ok(scheduler.hasFasterRunner(result.admitted, new Set()));
+    }
+    await scheduler.close();
+  });
+
+  it("distributes requests over the runners", async () => {
+    const scheduler = schedulerWith(3);
+    const taken = new Map<string, number>();
+    for (let index = 0; index < 4; index += 1) {
+      const result = await admit(scheduler, callOf(`c${index}`));
+      if (result.kind === "refused") continue;
+      const { id } = result.admitted.runner.server;
+      taken.set(id, (taken.get(id) ?? 0) + 1);
+    }
+    assert.is(taken.size, 3);
+    assert.ok(Math.max(...taken.values()) <= 2);
+    await scheduler.close();
+  });
+
+  it("avoids a full runner for a while", async () => {
+    const scheduler = schedulerWith(2);
+    const first = await admit(scheduler, callOf("a"));
+    if (first.kind === "refused") throw new TypeError("no place");
+    const { id } = first.admitted.runner.server;
+    scheduler.release(first.admitted, "full");
+    scheduler.finish(first.admitted, undefined);
+    const second = await admit(scheduler, callOf("b"));
+    if (second.kind === "refused") throw new TypeError("no place");
+    assert.is.not(second.admitted.runner.server.id, id);
+    await scheduler.close();
+  });
+
+  it("removes a cancelled request from the queue", async () => {
+    const scheduler = schedulerWith(1);
+    for (let index = 0; index < SLOTS; index += 1) {
+      await admit(scheduler, callOf(`c${index}`));
+    }
+    const route = routeOf({ kind: "stream", objectiveMs: 60_000 });
+    const waiting = admit(scheduler, callOf("late", { route }));
+    scheduler.cancel("late", {
+      error: failure(1218),
+      retryAfterMs: 1,
+    });
+    assert.is((await waiting).kind, "refused");
+    assert.is(scheduler.waitingCount, 0);
+    await scheduler.close();
+  });
+
+  describe("after a runner's restart", () => {
+    const FIRST: BackendServer = {
+      id: "r0",
+      startedAtMs: 1000,
+      service: "model",
+      address: "10.0.0.0:80",
+      dataCentre: "here",
+      slots: SLOTS,
+      isLeaving: false,
+      heartbeat: 500,
+    };
+    const SECOND: BackendServer = { ...FIRST, startedAtMs: 2000, heartbeat: 1 };
+
+    function restart(scheduler: RequestScheduler): void {
+      scheduler.removeServer(FIRST.id);
+      scheduler.endIncarnation(FIRST, SECOND);
+      scheduler.setServer(SECOND);
+    }
+
+    function refuse(scheduler: RequestScheduler, result: AdmitResult): void {
+      if (result.kind === "refused") throw new TypeError("no place");
+      scheduler.release(result.admitted, "full");
+      scheduler.finish(result.admitted, undefined);
+    }
+
+    it("drops the refusals of the earlier incarnation", async () => {
+      // The service's only runner refuses until it crashes. Waiting callers
+      // must be admitted as soon as the new incarnation is known.
+      const scheduler = schedulerWith(0);
+      scheduler.setServer(FIRST);
+      const placed = [1, 2, 3, 4].map((index) =>
+        admit(scheduler, callOf(`c${index}`)),
+      );
+      for (const result of await Promise.all(placed)) refuse(scheduler, result);
+      assert.ok(scheduler.isUnavailable("model"));
+      const waiting = admit(scheduler, callOf("waiting"));
+      assert.is(scheduler.waitingCount, 1);
+      restart(scheduler);
+      assert.not.ok(scheduler.isUnavailable("model"));
+      assert.is((await waiting).kind, "admitted");
+      await scheduler.close();
+    });
+
+    it("ignores a late refusal of the earlier incarnation", async () => {
+      const scheduler = schedulerWith(0);
+      scheduler.setServer(FIRST);
+      const placed = [1, 2, 3, 4].map((index) =>
+        admit(scheduler, callOf(`c${index}`)),
+      );
+      const results = await Promise.all(placed);
+      restart(scheduler);
+      for (const result of results) refuse(scheduler, result);
+      assert.not.ok(scheduler.isUnavailable("model"));
+      assert.is((await admit(scheduler, callOf("next"))).kind, "admitted");
+      await scheduler.close();
+    });
+
+    it("tracks slowness per incarnation", async () => {
+      const scheduler = schedulerWith(
+        2,
+        (_, startedAtMs) => startedAtMs === 1000,
+      );
+      scheduler.setServer(FIRST);
+      const others = await admit(scheduler, callOf("a"));
+      if (others.kind === "refused") throw new TypeError("no place");
+      assert.is.not(others.admitted.runner.server.id, FIRST.id);
+      restart(scheduler);
+      const next = await admit(scheduler, callOf("b"));
+      if (next.kind === "refused") throw new TypeError("no place");
+      assert.is(next.admitted.runner.server.startedAtMs, 2000);
+      await scheduler.close();
+    });
+
+    it("keeps a runner in one service only", async () => {
+      const scheduler = schedulerWith(0);
+      scheduler.setServer(FIRST);
+      scheduler.setServer({ ...FIRST, service: "other" });
+      assert.is((await admit(scheduler, callOf("a"))).kind, "refused");
+      await scheduler.close();
+    });
+  });
+});
