--- a/tests/direct/runner-pool.test.ts
+++ b/tests/direct/runner-pool.test.ts
@@ -15,12 +15,15 @@
   startedAtMs: undefined,
 };
 
-/** Closed twice, connections reject, and that would end the process. */
-class Connections {
+/**
+ * Records how connections are opened, closed and aborted. A second close
+ * rejects, which as an unhandled rejection would end the process.
+ */
+class ConnectionRecorder {
   opened = 0;
   closed = 0;
-  /** How connections of earlier lives were ended, in order. */
-  readonly ended: string[] = [];
+  /** How connections of earlier incarnations were aborted, in order. */
+  readonly aborted: string[] = [];
 
   readonly connect = (address: string): RunnerConnections => {
     this.opened += 1;
@@ -34,17 +37,17 @@
     return {
       dispatch: () => true,
       close,
-      endAll: () => {
-        this.ended.push(`${address} all`);
+      abortAll: () => {
+        this.aborted.push(`${address} all`);
       },
-      endOpenedBefore: (startedAtMs) => {
-        this.ended.push(`${address} before ${startedAtMs}`);
+      abortOpenedBefore: (startedAtMs) => {
+        this.aborted.push(`${address} before ${startedAtMs}`);
       },
     };
   };
 }
 
-function poolOf(connections: Connections): RunnerPool {
+function poolOf(connections: ConnectionRecorder): RunnerPool {
   return RunnerPool.create({
     now: () => 0,
     random: createRandom(1),
@@ -55,137 +58,137 @@
   });
 }
 
-describe("runners of a service", () => {
-  it("that have left are given no new connections by a stream that stalls", () => {
-    // A runner leaves while a stream still runs there, and its connections are
-    // closed once that ends. The stream falls silent and is moved. Closing the
-    // connections once more failed, which ended the whole entry and cut the
+describe("runner pool", () => {
+  it("opens no connections to a removed runner when a stream stalls", () => {
+    // A runner is removed while a stream still runs there, and its connections
+    // are closed when that ends. Then the stream stalls and is moved. Closing
+    // the connections a second time fails, which ended the entry and cut the
     // requests of all its callers.
-    const connections = new Connections();
+    const connections = new ConnectionRecorder();
     const pool = poolOf(connections);
     pool.set(SERVER);
-    const runner = pool.choose(new Set());
+    const runner = pool.selectRunner(new Set());
     assert.ok(runner !== undefined);
     pool.remove(SERVER.id);
-    pool.renew(runner);
+    pool.replaceConnections(runner);
     assert.is(connections.opened, 1);
     assert.is(connections.closed, 1);
   });
 
-  it("that stay get new connections in place of silent ones", async () => {
-    const connections = new Connections();
+  it("replaces silent connections to a current runner", async () => {
+    const connections = new ConnectionRecorder();
     const pool = poolOf(connections);
     pool.set(SERVER);
-    const runner = pool.choose(new Set());
+    const runner = pool.selectRunner(new Set());
     assert.ok(runner !== undefined);
-    pool.renew(runner);
+    pool.replaceConnections(runner);
     await pool.close();
     assert.is(connections.opened, 2);
     assert.is(connections.closed, 2);
   });
 
-  describe("that have started again", () => {
+  describe("after a runner's restart", () => {
     const FIRST = { ...SERVER, startedAtMs: 1000 };
     const SAME_ADDRESS = { ...SERVER, startedAtMs: 2000 };
     const MOVED = { ...SAME_ADDRESS, address: "10.0.0.1:80" };
     const NOTHING = new Set<Runner>();
 
-    function startAgain(
+    function restart(
       pool: RunnerPool,
       later: typeof SERVER | typeof FIRST,
     ): void {
       pool.remove(FIRST.id);
-      pool.endLife(FIRST, later);
+      pool.endIncarnation(FIRST, later);
       pool.set(later);
     }
 
-    function placed(pool: RunnerPool): Runner {
-      const runner = pool.choose(NOTHING);
+    function startAttempt(pool: RunnerPool): Runner {
+      const runner = pool.selectRunner(NOTHING);
       assert.ok(runner !== undefined);
       pool.start(runner);
       return runner;
     }
 
-    it("fail what runs at another address at once", () => {
-      // The earlier life's VM is cut off: no reset comes. What was sent there
-      // would be waited for until the callers' time is over.
-      const connections = new Connections();
+    it("aborts attempts at another address at once", () => {
+      // The earlier incarnation's VM is unreachable and sends no reset.
+      // Requests that were sent there would wait until their deadline.
+      const connections = new ConnectionRecorder();
       const pool = poolOf(connections);
       pool.set(FIRST);
-      placed(pool);
-      startAgain(pool, MOVED);
-      assert.equal(connections.ended, ["10.0.0.0:80 all"]);
+      startAttempt(pool);
+      restart(pool, MOVED);
+      assert.equal(connections.aborted, ["10.0.0.0:80 all"]);
     });
 
-    it("fail what runs on connections from before at the same address", () => {
-      // Until its registration is read, requests reach the later life as well,
-      // and those must not be cut.
-      const connections = new Connections();
+    it("aborts attempts on older connections to the same address", () => {
+      // Requests may reach the later incarnation before its registration is
+      // read; those must not be aborted.
+      const connections = new ConnectionRecorder();
       const pool = poolOf(connections);
       pool.set(FIRST);
-      placed(pool);
-      startAgain(pool, SAME_ADDRESS);
-      assert.equal(connections.ended, ["10.0.0.0:80 before 2000"]);
+      startAttempt(pool);
+      restart(pool, SAME_ADDRESS);
+      assert.equal(connections.aborted, ["10.0.0.0:80 before 2000"]);
     });
 
-    it("fail what still runs after they were removed", () => {
-      const connections = new Connections();
+    it("aborts attempts at a removed runner", () => {
+      const connections = new ConnectionRecorder();
       const pool = poolOf(connections);
       pool.set(FIRST);
-      placed(pool);
+      startAttempt(pool);
       pool.remove(FIRST.id);
-      assert.equal(connections.ended, []);
-      pool.endLife(FIRST, MOVED);
-      assert.equal(connections.ended, ["10.0.0.0:80 all"]);
+      assert.equal(connections.aborted, []);
+      pool.endIncarnation(FIRST, MOVED);
+      assert.equal(connections.aborted, ["10.0.0.0:80 all"]);
     });
 
-    it("fail what runs on connections that were replaced", () => {
-      const connections = new Connections();
+    it("aborts attempts on replaced connections", () => {
+      const connections = new ConnectionRecorder();
       const pool = poolOf(connections);
       pool.set(FIRST);
-      pool.renew(placed(pool));
-      startAgain(pool, MOVED);
-      assert.equal(connections.ended, ["10.0.0.0:80 all", "10.0.0.0:80 all"]);
+      pool.replaceConnections(startAttempt(pool));
+      restart(pool, MOVED);
+      assert.equal(connections.aborted, ["10.0.0.0:80 all", "10.0.0.0:80 all"]);
     });
 
-    it("get new connections, and keep no trace of failures before", () => {
-      // Three failures in a row leave the earlier life out, and the last
-      // request found it full. The later one is sound and empty.
-      const connections = new Connections();
+    it("opens new connections and drops earlier failures", () => {
+      // Three consecutive failures exclude the earlier incarnation. The later
+      // one is healthy and empty.
+      const connections = new ConnectionRecorder();
       const pool = poolOf(connections);
       pool.set(FIRST);
       for (const verdict of ["failed", "failed", "failed"] as const) {
-        pool.release(placed(pool), verdict);
+        pool.release(startAttempt(pool), verdict);
       }
-      assert.is(pool.choose(NOTHING), undefined);
-      startAgain(pool, SAME_ADDRESS);
+      assert.is(pool.selectRunner(NOTHING), undefined);
+      restart(pool, SAME_ADDRESS);
       assert.is(connections.opened, 2);
-      assert.ok(pool.choose(NOTHING) !== undefined);
+      assert.ok(pool.selectRunner(NOTHING) !== undefined);
       assert.is(
-        pool.runningIn(() => true),
+        pool.countRunning(() => true),
         0,
       );
     });
 
-    it("aren't judged by attempts at the earlier life that end late", () => {
-      const pool = poolOf(new Connections());
+    it("ignores attempts at the earlier incarnation that end late", () => {
+      const pool = poolOf(new ConnectionRecorder());
       pool.set(FIRST);
-      const late = placed(pool);
-      startAgain(pool, SAME_ADDRESS);
+      const late = startAttempt(pool);
+      restart(pool, SAME_ADDRESS);
       pool.release(late, "full");
-      assert.ok(pool.choose(NOTHING) !== undefined);
+      assert.ok(pool.selectRunner(NOTHING) !== undefined);
       assert.is(
-        pool.runningIn(() => true),
+        pool.countRunning(() => true),
         0,
       );
     });
 
-    it("may be tried again by a request that the earlier life failed", () => {
-      const pool = poolOf(new Connections());
+    it("offers the new incarnation to a request that failed at the earlier one", () => {
+      const pool = poolOf(new ConnectionRecorder());
       pool.set(FIRST);
-      const earlier = placed(pool);
-      startAgain(pool, SAME_ADDRESS);
-      const later = pool.choose(new Set([earlier]));
+      const earlier = startAttempt(pool);
+      restart(pool, SAME_ADDRESS);
+      const later = pool.selectRunner(new Set([earlier]));
       assert.is(later?.server.startedAtMs, 2000);
     });
   });
--- a/tests/direct/unused-connections.ts
+++ b/tests/direct/unused-connections.ts
@@ -1,9 +1,9 @@
-/** Connections of runners that a test sends nothing to. */
+/** Connections for tests that send no requests to runners. */
 import type { RunnerConnections } from "../../src/direct/runner-connections.js";
 
 export const unusedConnections: RunnerConnections = {
   dispatch: () => true,
   close: () => Promise.resolve(),
-  endAll: () => undefined,
-  endOpenedBefore: () => undefined,
+  abortAll: () => undefined,
+  abortOpenedBefore: () => undefined,
 };
