--- a/src/rankmaps/agent.ts
+++ b/src/rankmaps/agent.ts
@@ -1,6 +1,6 @@
 /**
- * The process beside a runner: its rank's agent, and the planner of the group
- * when it holds the seat.
+ * The agent process on a runner's VM: serves the runner's rank, and plans for
+ * the group while it holds the planner lease.
  */
 import { randomUUID } from "node:crypto";
 import { Server } from "@grpc/grpc-js";
@@ -46,22 +46,22 @@
 import { GroupPlanner } from "./group-planner.js";
 import { GroupReporter } from "./group-reporter.js";
 import { HoldGuard } from "./hold-guard.js";
-import { KnownGroup } from "./known-group.js";
+import { GroupMembers } from "./group-members.js";
 import { PaceReporter } from "./pace-reporter.js";
-import { PlannerSeat, type SeatService } from "./planner-seat.js";
+import { PlannerLease, type SeatService } from "./planner-seat.js";
 import { RankAgent } from "./rank-agent.js";
 import { RankClient } from "./rank-client.js";
 import { createReachableRank } from "./reachable-rank.js";
 import { RelayedMaps } from "./relayed-maps.js";
-import { SwitchRuns } from "./switch-run.js";
+import { SwitchCoordinators } from "./switch-coordinator.js";
 import type { GroupRank, RankPort, RankState } from "./types.js";
 
 export interface AgentOptions {
   readonly settings: RankAgentSettings;
-  /** Reaches a runner at host:port. */
+  /** Connects to the runner at host:port. */
   readonly connectRunner: (address: string) => RankPort;
   readonly seats: SeatService;
-  /** Of the store that gives out the seats and holds the topics. */
+  /** Era of the store that grants the leases and holds the topics. */
   readonly era: StoreEra;
   readonly configuration: KeyedTopic;
   readonly configurationKey: string;
@@ -73,13 +73,15 @@
   readonly groupNotes: KeyedWriter;
 }
 
-/** Between two looks at a runner that belongs to no group yet, ms. */
+/**
+ * Interval between observations of a runner that belongs to no group yet, ms.
+ */
 const SEARCH_INTERVAL_MS = 500;
-/** Between two attempts of a planner that doesn't reach its whole group, ms. */
+/** Interval between a planner's attempts to reach its complete group, ms. */
 const INCOMPLETE_INTERVAL_MS = 300;
-/** The seat's renewal gets this time to leave the group at the end, ms. */
-const LEAVE_MS = 100;
-/** Transport between agents lies inside the users' own network. */
+/** Time for leaving the lease's group at shutdown, ms. */
+const LEAVE_GRACE_MS = 100;
+/** Traffic between agents stays within the users' own network. */
 const PLAIN_TRANSPORT = { allowPlaintext: true } as const;
 
 export class RankAgentProcess implements AsyncDisposable {
@@ -87,21 +89,21 @@
   private readonly emit: Emit;
   private readonly agent: RankAgent;
   private readonly server = new Server(channelOptions);
-  private readonly stop = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly clients = new Map<string, RankClient>();
   private readonly ranks = new Map<string, GroupRank>();
   /** host:port of runners that were seen in another group. */
-  private readonly others = new Set<string>();
-  private readonly group: KnownGroup;
+  private readonly otherGroupRunners = new Set<string>();
+  private readonly members: GroupMembers;
   private engine: EngineFigures | undefined;
-  /** Of the configuration that told them. */
+  /** Version of the configuration that `engine` comes from. */
   private engineVersion = Number.NEGATIVE_INFINITY;
   private readonly findings: RecordFindings;
   private readonly registerReader: RegisterReader;
-  private readonly seat: PlannerSeat;
+  private readonly lease: PlannerLease;
   private readonly candidacy = Candidacy.create(() => performance.now());
-  private readonly runs = SwitchRuns.create();
-  private readonly maps = RelayedMaps.create();
+  private readonly coordinators = SwitchCoordinators.create();
+  private readonly relayedMaps = RelayedMaps.create();
   private readonly port: RankPort;
   private readonly pace: PaceReporter;
   private readonly groupReporter: GroupReporter;
@@ -138,35 +140,35 @@
       notes: options.groupNotes,
       emit: this.emit,
     });
-    this.group = KnownGroup.create({
+    this.members = GroupMembers.create({
       observeOwn: () => port.observe(),
-      find: (own) => this.findGroup(own, this.stop.signal),
+      discover: (own) => this.findGroup(own, this.abortController.signal),
       rankAt: (address) => this.rankAt(address),
       onFailure: (error) => {
-        this.noteUnreachable(error);
+        this.reportUnreachable(error);
       },
     });
     const guard = HoldGuard.create({
       port,
       emit: this.emit,
-      group: () => this.group.read(),
-      signal: this.stop.signal,
-      maps: this.maps,
+      group: () => this.members.read(),
+      signal: this.abortController.signal,
+      maps: this.relayedMaps,
     });
     this.agent = RankAgent.create({
       port,
-      maps: this.maps,
+      maps: this.relayedMaps,
       onObserved: () => {
         this.candidacy.onObserved();
       },
       onMembers: (epoch, members) => {
-        this.group.tell(epoch, members);
+        this.members.announce(epoch, members);
       },
       onHold: (hold) => {
         guard.watch(hold);
       },
     });
-    this.seat = PlannerSeat.create({
+    this.lease = PlannerLease.create({
       service: seats,
       emit: this.emit,
       era: () => options.era.current,
@@ -176,7 +178,7 @@
     options.era.onRise((era) => {
       this.emit(196, { era });
       measurements.set("storeEra", era);
-      this.pace.onStoreReturned();
+      this.pace.onStoreRestored();
       this.groupReporter.forget();
     });
   }
@@ -187,17 +189,17 @@
     return agent;
   }
 
-  /** Nothing of an agent's settings changes while it runs. */
+  /** An agent's settings can't change while it runs. */
   reload(settings: DirectSettings): void {
     const changed = changedFields(this.options.settings, settings);
     this.emit(203, { changed: changed.join(",") });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.stop.abort();
+    this.abortController.abort();
     this.server.forceShutdown();
     for (const client of this.clients.values()) client[Symbol.dispose]();
-    await pause(LEAVE_MS, new AbortController().signal);
+    await pause(LEAVE_GRACE_MS, new AbortController().signal);
     await this.metricsServer?.[Symbol.asyncDispose]();
     await this.events.close();
   }
@@ -216,22 +218,22 @@
       incarnation: this.incarnation,
       release: RELEASE,
     });
-    void this.run(this.stop.signal);
+    void this.run(this.abortController.signal);
   }
 
   private async run(signal: AbortSignal): Promise<void> {
-    const own = await this.ownState(signal);
+    const own = await this.waitForGroup(signal);
     if (own === undefined) return;
     const { service } = this.options.settings;
-    const stands = (): boolean => this.candidacy.stands(own.rank);
-    void this.seat.run(`${service}.${own.group}`, signal, stands);
+    const isCandidate = (): boolean => this.candidacy.isCandidate(own.rank);
+    void this.lease.run(`${service}.${own.group}`, signal, isCandidate);
     let planner: GroupPlanner | undefined;
     while (!signal.aborted) {
-      if (this.seat.generation === undefined) {
+      if (this.lease.generation === undefined) {
         planner = undefined;
         this.groupReporter.forget();
-        const { turn } = this.seat;
-        await Promise.race([turn, pause(SEARCH_INTERVAL_MS, signal)]);
+        const { change } = this.lease;
+        await Promise.race([change, pause(SEARCH_INTERVAL_MS, signal)]);
         continue;
       }
       planner = await this.plan(planner, own, signal);
@@ -239,13 +241,15 @@
   }
 
   /** Waits until the runner belongs to a group. */
-  private async ownState(signal: AbortSignal): Promise<RankState | undefined> {
+  private async waitForGroup(
+    signal: AbortSignal,
+  ): Promise<RankState | undefined> {
     while (!signal.aborted) {
       try {
         const state = await this.port.observe();
         if (state.size > 0) return state;
       } catch (error) {
-        this.noteUnreachable(error);
+        this.reportUnreachable(error);
       }
       await pause(SEARCH_INTERVAL_MS, signal);
     }
@@ -263,42 +267,45 @@
         await pause(SEARCH_INTERVAL_MS, signal);
         return undefined;
       }
-      const { ranks } = this.group;
+      const { ranks } = this.members;
       const waitMs = await planner.step(ranks);
-      this.tellGroup(planner, ranks);
+      this.reportGroup(planner, ranks);
       await pause(waitMs, signal);
       return planner;
     } catch (error) {
-      this.noteUnreachable(error);
-      this.group.markStale();
+      this.reportUnreachable(error);
+      this.members.markStale();
       await pause(INCOMPLETE_INTERVAL_MS, signal);
       return undefined;
     }
   }
 
-  /** The planner has just seen these ranks whole, in its epoch. */
-  private tellGroup(
+  /**
+   * Publishes the ranks that the planner has just observed completely in its
+   * epoch.
+   */
+  private reportGroup(
     { group, epoch }: GroupPlanner,
     ranks: readonly GroupRank[],
   ): void {
     const { service } = this.options.settings;
     const addresses = ranks.map(({ address }) => address);
     const name = `${service}.${group}`;
-    this.groupReporter.look({ name, service, epoch, addresses });
+    this.groupReporter.report({ name, service, epoch, addresses });
   }
 
-  /** Undefined where the service's engines have no expert maps. */
+  /** Undefined if the service's engines have no expert maps. */
   private async createPlanner(
     { group }: RankState,
     signal: AbortSignal,
   ): Promise<GroupPlanner | undefined> {
     const engine = await this.engineFigures(signal);
     if (engine === undefined || engine.expertSets === 0) return undefined;
-    await this.group.read();
+    await this.members.read();
     const { epoch, rank, size } = await this.port.observe();
     return GroupPlanner.create({
-      seat: this.seat,
-      runs: this.runs,
+      lease: this.lease,
+      coordinators: this.coordinators,
       emit: this.emit,
       measurements: this.measurements,
       pace: this.pace,
@@ -309,7 +316,10 @@
     });
   }
 
-  /** Throws 1901 while the store is away and they aren't known yet. */
+  /**
+   * Throws 1901 while the store is unreachable and the figures aren't known
+   * yet.
+   */
   private async engineFigures(
     signal: AbortSignal,
   ): Promise<EngineFigures | undefined> {
@@ -326,16 +336,16 @@
         },
       });
       if (newest === undefined) return this.engine;
-      // The store may have come back from an older copy.
+      // The store may have been restored from an older copy.
       if (newest.version < this.engineVersion) return this.engine;
       this.engineVersion = newest.version;
       const { service } = this.options.settings;
       const own = newest.services.find(({ name }) => name === service);
       this.engine = own?.engine;
     } catch (error) {
-      // An engine's figures hardly ever change; its group does need a planner.
+      // An engine's figures hardly ever change, and the group needs a planner.
       if (this.engine === undefined) throw error;
-      this.noteUnreachable(error);
+      this.reportUnreachable(error);
     }
     return this.engine;
   }
@@ -346,12 +356,13 @@
     signal: AbortSignal,
   ): Promise<readonly GroupRank[]> {
     const addresses = await this.registeredAddresses(signal);
-    const isOther = (address: string): boolean => this.others.has(address);
-    const likely = addresses.filter((address) => !isOther(address));
+    const isInOtherGroup = (address: string): boolean =>
+      this.otherGroupRunners.has(address);
+    const likely = addresses.filter((address) => !isInOtherGroup(address));
     const members = await this.membersAmong(likely, own);
     if (members.length === own.size) return members;
-    // A runner may start again in another group.
-    const unlikely = addresses.filter(isOther);
+    // A runner may restart in another group.
+    const unlikely = addresses.filter(isInOtherGroup);
     return [...members, ...(await this.membersAmong(unlikely, own))];
   }
 
@@ -376,8 +387,8 @@
     const ranks = addresses.map((address) => this.rankAt(address));
     const groups = await Promise.all(ranks.map((rank) => this.groupOf(rank)));
     ranks.forEach(({ address }, index) => {
-      if (groups[index] === group) this.others.delete(address);
-      else if (groups[index] !== undefined) this.leaveOut(address);
+      if (groups[index] === group) this.otherGroupRunners.delete(address);
+      else if (groups[index] !== undefined) this.excludeRunner(address);
     });
     return ranks.filter((_, index) => groups[index] === group);
   }
@@ -388,14 +399,17 @@
       const { state } = await rank.observe(request);
       return state.group;
     } catch (error) {
-      this.noteUnreachable(error);
+      this.reportUnreachable(error);
       return undefined;
     }
   }
 
-  /** Of another group: its connections would be kept open for nothing. */
-  private leaveOut(address: string): void {
-    this.others.add(address);
+  /**
+   * Forgets a runner of another group, whose connections would otherwise stay
+   * open without use.
+   */
+  private excludeRunner(address: string): void {
+    this.otherGroupRunners.add(address);
     this.ranks.delete(address);
     const agent = this.agentAddressOf(address);
     this.clients.get(agent)?.[Symbol.dispose]();
@@ -417,7 +431,7 @@
       agent: this.clientOf(this.agentAddressOf(address)),
       runner: this.options.connectRunner(address),
       now: () => performance.now(),
-      members: () => this.group.ranks.map((one) => one.address),
+      members: () => this.members.ranks.map((one) => one.address),
     });
     this.ranks.set(address, rank);
     return rank;
@@ -431,7 +445,7 @@
     return client;
   }
 
-  private noteUnreachable(error: unknown): void {
+  private reportUnreachable(error: unknown): void {
     const { message } = toFailure(error, 1607);
     this.emit(223, { reason: message });
   }
--- a/src/rankmaps/candidacy.ts
+++ b/src/rankmaps/candidacy.ts
@@ -1,18 +1,21 @@
 /**
- * Which agents of a group stand for its planner's seat. Each one that does calls
- * the store twice a second, and a large group needs a planner no more often than a
- * small one: agents of the first ranks stand, and any other only while nobody
- * looks at its rank, because then none of them plans.
+ * Decides which agents of a group are candidates for its planner lease. Each
+ * candidate calls the store twice a second, and a large group needs no more
+ * candidates than a small one. Agents of the first ranks always are candidates;
+ * any other only while nobody observes its rank, because then no agent is
+ * planning.
  */
 import type { Now } from "../internal.js";
 
-/** Agents that stand for the seat at all times: those of ranks below this. */
-export const STANDING_RANKS = 8;
+/** Agents of ranks below this are always candidates. */
+export const CANDIDATE_RANKS = 8;
 /**
- * A planner looks at all ranks four times a second, and one that takes over needs
- * two or three seconds from the loss of the last one to its first look, ms.
+ * An agent becomes a candidate when its rank hasn't been observed for this
+ * long, ms. A planner observes all ranks four times a second, and a new one
+ * needs two or three seconds from the loss of the last planner to its first
+ * observation.
  */
-export const UNOBSERVED_MS = 4000;
+export const UNOBSERVED_TIMEOUT_MS = 4000;
 
 export class Candidacy {
   private observedAtMs: number;
@@ -25,13 +28,13 @@
     return new Candidacy(now);
   }
 
-  /** A planner has looked at the own rank. */
+  /** Call when a planner observes the own rank. */
   onObserved(): void {
     this.observedAtMs = this.now();
   }
 
-  stands(rank: number): boolean {
+  isCandidate(rank: number): boolean {
     const unobservedMs = this.now() - this.observedAtMs;
-    return rank < STANDING_RANKS || unobservedMs >= UNOBSERVED_MS;
+    return rank < CANDIDATE_RANKS || unobservedMs >= UNOBSERVED_TIMEOUT_MS;
   }
 }
--- a/src/rankmaps/count-deltas.ts
+++ b/src/rankmaps/count-deltas.ts
@@ -1,58 +1,63 @@
 /**
- * What a rank's requests chose since the last look, from counts that run since
- * the start of the rank's life. Only what was added between two looks at one
- * life is told: a life's counts as a whole would pass for the demand of one
- * moment, and the next map would be made for what is long over.
+ * Computes how often a rank's requests selected each expert since the last
+ * read, from counters that are cumulative since the runner's start. Only the
+ * difference between two reads of the same incarnation is returned: cumulative
+ * counts would be mistaken for current demand, and the next map would be
+ * planned for demand of the past.
  */
 import type { Now } from "../internal.js";
-import { LatestLife } from "./latest-life.js";
+import { LatestIncarnation } from "./latest-incarnation.js";
 import type { RankCounts } from "./types.js";
 
 export class CountDeltas {
-  private known: RankCounts | undefined;
+  private last: RankCounts | undefined;
 
-  private constructor(private readonly lives: LatestLife) {}
+  private constructor(private readonly incarnations: LatestIncarnation) {}
 
   static create(now: Now): CountDeltas {
-    return new CountDeltas(LatestLife.create(now));
+    return new CountDeltas(LatestIncarnation.create(now));
   }
 
-  /** None at the first look at a life, and for counts that come late. */
-  take(counted: RankCounts): readonly number[] {
-    const { known } = this;
-    const order = this.lives.see(counted.startedAtMs);
+  /**
+   * Empty at the first read of an incarnation, and for counts that arrive late.
+   */
+  update(current: RankCounts): readonly number[] {
+    const { last } = this;
+    const order = this.incarnations.observe(current.startedAtMs);
     if (order === "earlier") return [];
-    const isSame = order === "same" && known !== undefined;
-    if (isSame && isOvertaken(known, counted)) return [];
-    this.known = counted;
-    if (!isSame || !isContinued(known, counted)) return [];
-    return counted.counts.map((count, index) => count - countAt(known, index));
+    const isSame = order === "same" && last !== undefined;
+    if (isSame && isOutOfOrder(last, current)) return [];
+    this.last = current;
+    if (!isSame || !isContinuous(last, current)) return [];
+    return current.counts.map((count, index) => count - countAt(last, index));
   }
 }
 
-/** By what is known of the same life. */
-function isOvertaken(known: RankCounts, counted: RankCounts): boolean {
-  const isOneEpoch = known.epoch === counted.epoch;
-  return isLifeTold(known, counted) && isOneEpoch && isLower(known, counted);
+/**
+ * Whether the counts are older than the previous ones of the same incarnation.
+ */
+function isOutOfOrder(last: RankCounts, current: RankCounts): boolean {
+  const isSameEpoch = last.epoch === current.epoch;
+  return haveStarts(last, current) && isSameEpoch && hasDecrease(last, current);
 }
 
 /**
- * Where lives aren't told, a life that begins anew shows in a new epoch, which
- * the group gets whenever a rank restarts, or in a count that went down.
+ * Without a known start, a restart shows as a new epoch, which the group gets
+ * whenever a rank restarts, or as a counter that has decreased.
  */
-function isContinued(known: RankCounts, counted: RankCounts): boolean {
-  if (isLower(known, counted)) return false;
-  return isLifeTold(known, counted)
-    ? known.startedAtMs === counted.startedAtMs
-    : known.epoch === counted.epoch;
+function isContinuous(last: RankCounts, current: RankCounts): boolean {
+  if (hasDecrease(last, current)) return false;
+  return haveStarts(last, current)
+    ? last.startedAtMs === current.startedAtMs
+    : last.epoch === current.epoch;
 }
 
-function isLifeTold(known: RankCounts, counted: RankCounts): boolean {
-  return known.startedAtMs !== undefined && counted.startedAtMs !== undefined;
+function haveStarts(last: RankCounts, current: RankCounts): boolean {
+  return last.startedAtMs !== undefined && current.startedAtMs !== undefined;
 }
 
-function isLower(known: RankCounts, counted: RankCounts): boolean {
-  return counted.counts.some((count, index) => count < countAt(known, index));
+function hasDecrease(last: RankCounts, current: RankCounts): boolean {
+  return current.counts.some((count, index) => count < countAt(last, index));
 }
 
 function countAt({ counts }: RankCounts, index: number): number {
--- a/src/rankmaps/demand.ts
+++ b/src/rankmaps/demand.ts
@@ -1,19 +1,22 @@
 /**
- * How much each expert of a group is in demand now: counts that fade with
- * time, so that a turn of demand shows within a second.
+ * Current demand for each expert of a group. Counts decay exponentially, so
+ * that a shift in demand becomes visible within a second.
  */
 
 import { sum } from "../balance/numbers.js";
 
-/** Time after which a count has faded to 1/e, ms; a turn shows after as long. */
-const FADE_MS = 600;
+/**
+ * Time constant of the decay, ms; a shift in demand becomes visible after about
+ * as long.
+ */
+const DECAY_TIME_MS = 600;
 
 /**
- * Choices of each expert, on average, below which counts don't fade. Where
- * there is little traffic, the experts of a few prompts would pass for the
- * demand of all.
+ * Average number of selections per expert below which counts don't decay. With
+ * little traffic, the experts of a few prompts would otherwise be mistaken for
+ * the overall demand.
  */
-const LEAST_CHOICES_EACH = 1000;
+const MIN_SELECTIONS_PER_EXPERT = 1000;
 
 export class ExpertDemand {
   readonly tokens: Float64Array;
@@ -22,7 +25,7 @@
     this.tokens = new Float64Array(size);
   }
 
-  /** `size`: sets * experts. */
+  /** `size`: number of sets * experts per set. */
   static create(size: number): ExpertDemand {
     return new ExpertDemand(size);
   }
@@ -31,18 +34,18 @@
     return sum(this.tokens);
   }
 
-  /** Whether a map can be made of what was counted so far. */
-  get isTelling(): boolean {
-    return this.total >= this.leastTotal;
+  /** Whether there are enough counts to plan a map. */
+  get hasEnoughCounts(): boolean {
+    return this.total >= this.minimumTotal;
   }
 
-  private get leastTotal(): number {
-    return this.tokens.length * LEAST_CHOICES_EACH;
+  private get minimumTotal(): number {
+    return this.tokens.length * MIN_SELECTIONS_PER_EXPERT;
   }
 
-  /** What all ranks counted in the last `elapsedMs`. */
+  /** Adds the counts of all ranks from the last `elapsedMs`. */
   add(counted: readonly (readonly number[])[], elapsedMs: number): void {
-    const kept = this.keptShare(counted, elapsedMs);
+    const kept = this.retainedShare(counted, elapsedMs);
     for (let index = 0; index < this.tokens.length; index += 1) {
       this.tokens[index] *= kept;
     }
@@ -53,15 +56,15 @@
     }
   }
 
-  private keptShare(
+  private retainedShare(
     counted: readonly (readonly number[])[],
     elapsedMs: number,
   ): number {
-    const faded = Math.exp(-elapsedMs / FADE_MS);
+    const faded = Math.exp(-elapsedMs / DECAY_TIME_MS);
     const { total } = this;
     if (total === 0) return faded;
     const fresh = sum(counted.map((counts) => sum(counts)));
-    const needed = (this.leastTotal - fresh) / total;
+    const needed = (this.minimumTotal - fresh) / total;
     return Math.max(faded, Math.min(1, needed));
   }
 }
--- a/src/rankmaps/group-planner.ts
+++ b/src/rankmaps/group-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans the expert map of one group while it holds the seat: observes all
- * ranks, follows demand, and takes each better map through its switch.
+ * Plans the expert map of one group while this process holds the planner lease:
+ * observes all ranks, tracks demand and drives the switch to each better map.
  */
 import { raise, toFailure, type Emit, type Measurements } from "../internal.js";
 import { orderOfLives, type LifeStart } from "../membership/life.js";
@@ -9,20 +9,23 @@
 import { ExpertDemand } from "./demand.js";
 import { MapPlanner, type MapLimits, type MapPlan } from "./map-planner.js";
 import type { PaceReporter } from "./pace-reporter.js";
-import type { PlannerSeat } from "./planner-seat.js";
+import type { PlannerLease } from "./planner-seat.js";
 import {
-  afterOrders,
-  isInForce,
-  wholeGroup,
+  applyOrders,
+  isMapActive,
+  completeGroup,
   type AddressedOrder,
 } from "./switch-orders.js";
-import type { SwitchRun, SwitchRuns } from "./switch-run.js";
+import type {
+  SwitchCoordinator,
+  SwitchCoordinators,
+} from "./switch-coordinator.js";
 import type {
   GroupRank,
   MapGoal,
   MapSets,
   Observation,
-  OfLife,
+  IncarnationScoped,
   OrderFence,
   OrderResult,
   RankOrder,
@@ -30,31 +33,34 @@
 } from "./types.js";
 
 export interface GroupPlannerOptions {
-  readonly seat: Pick<PlannerSeat, "generation" | "giveUp">;
-  /** Those of the process: they outlast this planner. */
-  readonly runs: SwitchRuns;
+  readonly lease: Pick<PlannerLease, "generation" | "relinquish">;
+  /** Shared by the whole process, so they outlive this planner. */
+  readonly coordinators: SwitchCoordinators;
   readonly emit: Emit;
   readonly measurements: Measurements;
-  readonly pace: Pick<PaceReporter, "look">;
+  readonly pace: Pick<PaceReporter, "report">;
   readonly engine: EngineFigures;
   /**
-   * The group whose seat it is. A runner may start again in another group, and
-   * fencing numbers of two groups' seats can't be compared.
+   * The group that the lease is for. A runner may restart in another group, and
+   * fencing numbers of two groups' leases can't be compared.
    */
   readonly group: string;
-  /** The ranks below are numbered for this epoch; the next may number anew. */
+  /**
+   * Epoch that the rank numbers belong to; the next epoch may renumber the
+   * ranks.
+   */
   readonly epoch: number;
   /**
-   * Rank that holds steps. Not the planner's own: when this process freezes,
-   * the holder's agent ends what was begun.
+   * Rank that holds steps. It isn't the planner's own rank: if this process
+   * freezes, the holder's agent completes or cancels the switch.
    */
   readonly holder: number;
 }
 
-/** What is known of the group while no rank of it starts anew. */
-interface GroupView {
-  /** By rank. */
-  readonly lives: readonly LifeStart[];
+/** Knowledge about the group, valid until one of its ranks restarts. */
+interface GroupSnapshot {
+  /** Start time of each rank's incarnation, by rank. */
+  readonly startTimes: readonly LifeStart[];
   readonly planner: MapPlanner;
   readonly demand: ExpertDemand;
   map: MapSets;
@@ -67,24 +73,30 @@
 }
 
 /**
- * Time that copying for one map may take, ms. Shorter, and more of the time
- * goes into switching; longer, and demand has turned before the map is in.
+ * Time budget for the copies of one map, ms. A shorter one spends more of the
+ * time on switching; with a longer one demand shifts before the map is active.
  */
 const COPY_BUDGET_MS = 450;
 
-/** Between two observations with counts, ms. */
+/** Interval between observations with counts, ms. */
 export const COUNT_INTERVAL_MS = 250;
-/** Between two looks at ranks that copy or wait for a step, ms. */
+/**
+ * Interval between observations while ranks copy weights or wait for a step,
+ * ms.
+ */
 export const SWITCH_INTERVAL_MS = 60;
-/** Between two looks while the ranks are being armed, ms. */
-const URGENT_INTERVAL_MS = 5;
-/** Hold, three waves of arms, and release, with as many for ranks that lag. */
-const MOST_ROUNDS = 10;
+/** Interval between observations while ranks are being armed, ms. */
+const ARMING_INTERVAL_MS = 5;
+/**
+ * Covers the hold, three arming rounds and the release, and as many repeats for
+ * ranks that lag.
+ */
+const MAX_ROUNDS_PER_STEP = 10;
 
 export class GroupPlanner {
-  private view: GroupView | undefined;
+  private snapshot: GroupSnapshot | undefined;
   private goal: Goal | undefined;
-  private run: SwitchRun | undefined;
+  private coordinator: SwitchCoordinator | undefined;
   private countedAtMs = Number.NEGATIVE_INFINITY;
 
   private constructor(private readonly options: GroupPlannerOptions) {}
@@ -102,87 +114,90 @@
   }
 
   /**
-   * One look at the group and what follows from it. Resolves with the time to
-   * the next one, ms. Throws 1607 when a rank can't be reached, 1606 when they
-   * don't make up the planner's group in its epoch.
+   * Observes the group once and sends the orders that follow. Resolves with the
+   * time until the next step, ms. Throws 1607 when a rank can't be reached, and
+   * 1606 when the ranks don't make up the planner's group in its epoch.
    */
   async step(ranks: readonly GroupRank[]): Promise<number> {
-    const run = this.currentRun();
-    if (run === undefined) return COUNT_INTERVAL_MS;
+    const coordinator = this.currentCoordinator();
+    if (coordinator === undefined) return COUNT_INTERVAL_MS;
     const nowMs = performance.now();
     const withCounts = nowMs - this.countedAtMs >= COUNT_INTERVAL_MS;
-    const withExperts = this.view === undefined;
-    const seen = await Promise.all(
+    const withExperts = this.snapshot === undefined;
+    const observations = await Promise.all(
       ranks.map((rank) => rank.observe({ withCounts, withExperts })),
     );
-    const states = wholeGroup(seen.map(({ state }) => state));
+    const states = completeGroup(observations.map(({ state }) => state));
     if (states === undefined || !this.isOwnGroup(states)) {
-      this.forget();
-      return raise(1606, { ranks: seen.length });
+      this.reset();
+      return raise(1606, { ranks: observations.length });
     }
-    this.options.pace.look(paceOf(ranks, seen));
-    this.takeIn(seen, states, withCounts, nowMs);
-    if (run.isIdle(states)) this.goal ??= this.makeGoal(run, states);
-    return this.carryOut(ranks, states, run);
+    this.options.pace.report(paceOf(ranks, observations));
+    this.updateSnapshot(observations, states, withCounts, nowMs);
+    if (coordinator.isIdle(states))
+      this.goal ??= this.planGoal(coordinator, states);
+    return this.advanceSwitch(ranks, states, coordinator);
   }
 
   /**
-   * Goes on at once while ranks confirm what was ordered: between the hold and
-   * the release the group depends on this process being alive.
+   * Continues without a delay while ranks confirm their orders: between the
+   * hold and the release, the group depends on this process.
    */
-  private async carryOut(
+  private async advanceSwitch(
     ranks: readonly GroupRank[],
-    seen: readonly RankState[],
-    run: SwitchRun,
+    initialStates: readonly RankState[],
+    coordinator: SwitchCoordinator,
   ): Promise<number> {
-    let states = seen;
-    for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      // What an earlier life had prepared, armed or held is gone with it.
-      if (isOutdated(ranks, states)) return URGENT_INTERVAL_MS;
-      const spareMap = this.view?.map ?? this.goal?.sets;
-      const orders = run.nextOrders(states, this.goal, spareMap);
-      if (orders.length === 0) return this.calmInterval();
-      const done = await this.send(ranks, states, orders, run);
+    let states = initialStates;
+    for (let round = 0; round < MAX_ROUNDS_PER_STEP; round += 1) {
+      // A restarted rank has lost what it had prepared, armed or held.
+      if (hasRestartedRank(ranks, states)) return ARMING_INTERVAL_MS;
+      const placeholderMap = this.snapshot?.map ?? this.goal?.sets;
+      const orders = coordinator.nextOrders(states, this.goal, placeholderMap);
+      if (orders.length === 0) return this.waitingInterval();
+      const done = await this.send(ranks, states, orders, coordinator);
       const isPreparing = orders.some(({ order }) => order.kind === "prepare");
       if (isPreparing) return SWITCH_INTERVAL_MS;
-      if (!done) return URGENT_INTERVAL_MS;
+      if (!done) return ARMING_INTERVAL_MS;
       const isHold = orders.some(({ order }) => order.kind === "hold");
       const next = isHold
-        ? await this.lookAgain(ranks)
-        : afterOrders(states, orders);
-      if (next === undefined) return URGENT_INTERVAL_MS;
+        ? await this.observeAgain(ranks)
+        : applyOrders(states, orders);
+      if (next === undefined) return ARMING_INTERVAL_MS;
       states = next;
     }
-    return URGENT_INTERVAL_MS;
+    return ARMING_INTERVAL_MS;
   }
 
   /**
-   * Looks at all ranks once more before the first is armed. From then on a rank
-   * that falls silent keeps the whole group at the held step until it answers
-   * again; up to here the holder's agent can give the step up. Throws 1607 when
-   * a rank is silent.
+   * Observes all ranks once more before the first one is armed. After that, a
+   * rank that stops answering keeps the whole group at the held step until it
+   * answers again; before that, the holder's agent can still cancel the switch.
+   * Throws 1607 when a rank doesn't answer.
    */
-  private async lookAgain(
+  private async observeAgain(
     ranks: readonly GroupRank[],
   ): Promise<readonly RankState[]> {
     const request = { withCounts: false, withExperts: false };
-    const seen = await Promise.all(ranks.map((rank) => rank.observe(request)));
-    const states = wholeGroup(seen.map(({ state }) => state));
-    return states ?? raise(1606, { ranks: seen.length });
+    const observations = await Promise.all(
+      ranks.map((rank) => rank.observe(request)),
+    );
+    const states = completeGroup(observations.map(({ state }) => state));
+    return states ?? raise(1606, { ranks: observations.length });
   }
 
-  private calmInterval(): number {
+  private waitingInterval(): number {
     return this.goal === undefined ? COUNT_INTERVAL_MS : SWITCH_INTERVAL_MS;
   }
 
-  /** One run for each generation of the seat. */
-  private currentRun(): SwitchRun | undefined {
-    const generation = this.options.seat.generation;
+  /** There is one coordinator for each generation of the lease. */
+  private currentCoordinator(): SwitchCoordinator | undefined {
+    const generation = this.options.lease.generation;
     if (generation === undefined) return undefined;
-    const run = this.options.runs.of(generation);
-    if (this.run !== run) this.goal = undefined;
-    this.run = run;
-    return run;
+    const coordinator = this.options.coordinators.forGeneration(generation);
+    if (this.coordinator !== coordinator) this.goal = undefined;
+    this.coordinator = coordinator;
+    return coordinator;
   }
 
   private isOwnGroup(states: readonly RankState[]): boolean {
@@ -190,47 +205,55 @@
     return states[0].group === group && states[0].epoch === epoch;
   }
 
-  private forget(): void {
-    this.view = undefined;
+  private reset(): void {
+    this.snapshot = undefined;
     this.goal = undefined;
   }
 
-  private takeIn(
-    seen: readonly Observation[],
+  private updateSnapshot(
+    observations: readonly Observation[],
     states: readonly RankState[],
     withCounts: boolean,
     nowMs: number,
   ): void {
     const { mapVersion } = states[0];
-    if (this.view !== undefined && !isOfLives(states, this.view)) this.forget();
-    const isStale = this.view?.mapVersion !== mapVersion;
-    if (this.view === undefined || isStale) this.learnMap(seen, states);
+    if (
+      this.snapshot !== undefined &&
+      !hasSameIncarnations(states, this.snapshot)
+    )
+      this.reset();
+    const isStale = this.snapshot?.mapVersion !== mapVersion;
+    if (this.snapshot === undefined || isStale)
+      this.refreshMap(observations, states);
     if (!withCounts) return;
     const elapsedMs = Math.min(nowMs - this.countedAtMs, 60_000);
     this.countedAtMs = nowMs;
-    this.view?.demand.add(
-      seen.map(({ counts }) => counts),
+    this.snapshot?.demand.add(
+      observations.map(({ counts }) => counts),
       elapsedMs,
     );
   }
 
-  /** The map of the goal once it is in force, else what the ranks hold. */
-  private learnMap(
-    seen: readonly Observation[],
+  /**
+   * Adopts the goal's map once it is active, otherwise the experts that the
+   * ranks report.
+   */
+  private refreshMap(
+    observations: readonly Observation[],
     states: readonly RankState[],
   ): void {
     const { mapVersion, size } = states[0];
-    if (!isInForce(states, mapVersion)) return;
-    if (this.view !== undefined && this.goal?.version === mapVersion) {
-      this.view.map = this.goal.plan.sets;
-      this.view.mapVersion = mapVersion;
-      this.finishGoal(this.goal);
+    if (!isMapActive(states, mapVersion)) return;
+    if (this.snapshot !== undefined && this.goal?.version === mapVersion) {
+      this.snapshot.map = this.goal.plan.sets;
+      this.snapshot.mapVersion = mapVersion;
+      this.completeGoal(this.goal);
       return;
     }
-    this.view = undefined;
-    if (seen.some(({ experts }) => experts.length === 0)) return;
+    this.snapshot = undefined;
+    if (observations.some(({ experts }) => experts.length === 0)) return;
     const { engine } = this.options;
-    const byRank = seen.toSorted((a, b) => a.state.rank - b.state.rank);
+    const byRank = observations.toSorted((a, b) => a.state.rank - b.state.rank);
     const map = Array.from({ length: engine.expertSets }, (_, set) =>
       byRank.map(({ experts }) => experts[set] ?? []),
     );
@@ -240,8 +263,8 @@
       experts: engine.experts,
       slotsPerRank: engine.slotsPerRank,
     };
-    this.view = {
-      lives: byRank.map(({ state }) => state.startedAtMs),
+    this.snapshot = {
+      startTimes: byRank.map(({ state }) => state.startedAtMs),
       map,
       mapVersion,
       planner: MapPlanner.create(shape, limitsOf(engine)),
@@ -249,7 +272,7 @@
     };
   }
 
-  private finishGoal(goal: Goal): void {
+  private completeGoal(goal: Goal): void {
     this.goal = undefined;
     const { version, plan, startedAtMs } = goal;
     const { emit, measurements } = this.options;
@@ -260,40 +283,40 @@
     emit(221, { map: version, copies: plan.copies, durationMs });
   }
 
-  private makeGoal(
-    run: SwitchRun,
+  private planGoal(
+    coordinator: SwitchCoordinator,
     states: readonly RankState[],
   ): Goal | undefined {
-    const { view } = this;
-    if (view?.demand.isTelling !== true) return undefined;
-    const plan = view.planner.plan(
-      view.map,
-      view.demand.tokens,
+    const { snapshot } = this;
+    if (snapshot?.demand.hasEnoughCounts !== true) return undefined;
+    const plan = snapshot.planner.plan(
+      snapshot.map,
+      snapshot.demand.tokens,
       speedsOf(states),
     );
     if (plan === undefined) return undefined;
-    if (run.isExhausted) {
-      this.options.seat.giveUp();
+    if (coordinator.isExhausted) {
+      this.options.lease.relinquish();
       return undefined;
     }
-    const version = run.takeVersion();
+    const version = coordinator.allocateVersion();
     const { copies, skewBefore, skewAfter, sets } = plan;
-    const tokens = Math.round(view.demand.total);
+    const tokens = Math.round(snapshot.demand.total);
     const skews = { skewBefore, skewAfter };
     this.options.emit(220, { map: version, copies, tokens, ...skews });
     const { holder } = this.options;
     return { version, sets, holder, plan, startedAtMs: performance.now() };
   }
 
-  /** True when every rank confirms that it is as ordered. */
+  /** True when every rank confirms that its order has taken effect. */
   private async send(
     ranks: readonly GroupRank[],
     states: readonly RankState[],
     orders: readonly AddressedOrder[],
-    run: SwitchRun,
+    coordinator: SwitchCoordinator,
   ): Promise<boolean> {
     const { epoch } = states[0];
-    const fence = { epoch, fencing: run.fencing };
+    const fence = { epoch, fencing: coordinator.fencing };
     const confirmed = await Promise.all(
       orders.map(async ({ rank, order }) => {
         const index = states.findIndex((state) => state.rank === rank);
@@ -306,13 +329,13 @@
     return confirmed.every((isDone) => isDone);
   }
 
-  /** An order without an answer is sent again after the next look. */
+  /** An order without a response is sent again after the next observation. */
   private async sendOne(
     rank: GroupRank,
-    { order, startedAtMs }: OfLife & { readonly order: RankOrder },
+    { order, startedAtMs }: IncarnationScoped & { readonly order: RankOrder },
     fence: OrderFence,
   ): Promise<OrderResult | undefined> {
-    const { emit, seat } = this.options;
+    const { emit, lease } = this.options;
     try {
       const result =
         order.kind === "hold"
@@ -320,7 +343,7 @@
           : await rank.order(order, fence);
       if (result.kind === "fenced") {
         emit(171, { fencing: fence.fencing, highest: null, error: 1701 });
-        seat.giveUp();
+        lease.relinquish();
       }
       if (result.kind === "refused") this.onRefused(order, result.status);
       return result;
@@ -331,40 +354,43 @@
     }
   }
 
-  /** The rank has had a higher version, or can't take the map: a new one. */
+  /**
+   * A refused prepare means that the rank has had a higher version or can't
+   * load the map, so a new version is planned.
+   */
   private onRefused(order: RankOrder, status: number): void {
     this.options.emit(222, { order: order.kind, reason: String(status) });
     if (order.kind === "prepare") this.goal = undefined;
   }
 }
 
-function isOfLives(
+function hasSameIncarnations(
   states: readonly RankState[],
-  { lives }: GroupView,
+  { startTimes }: GroupSnapshot,
 ): boolean {
   return states.every(
     ({ rank, startedAtMs }) =>
-      orderOfLives(lives[rank], startedAtMs) === "same",
+      orderOfLives(startTimes[rank], startedAtMs) === "same",
   );
 }
 
-function isOutdated(
+function hasRestartedRank(
   ranks: readonly GroupRank[],
   states: readonly RankState[],
 ): boolean {
   return states.some(({ startedAtMs }, index) =>
-    ranks[index].isOver(startedAtMs),
+    ranks[index].isSuperseded(startedAtMs),
   );
 }
 
 function paceOf(
   ranks: readonly GroupRank[],
-  seen: readonly Observation[],
+  observations: readonly Observation[],
 ): readonly PaceNote[] {
   return ranks.map(({ address }, index) => ({
     address,
-    slowness: seen[index].state.slowness,
-    startedAtMs: seen[index].state.startedAtMs,
+    slowness: observations[index].state.slowness,
+    startedAtMs: observations[index].state.startedAtMs,
   }));
 }
 
@@ -378,7 +404,7 @@
   const { expertCopyMs, maximumNewExperts } = engine;
   const fitting = Math.floor(COPY_BUDGET_MS / Math.max(1, expertCopyMs));
   return {
-    copiesEachRank: Math.max(1, fitting),
-    copiesEachSet: Math.max(1, maximumNewExperts),
+    maxCopiesPerRank: Math.max(1, fitting),
+    maxCopiesPerSet: Math.max(1, maximumNewExperts),
   };
 }
--- a/src/rankmaps/group-reporter.ts
+++ b/src/rankmaps/group-reporter.ts
@@ -1,4 +1,4 @@
-/** Writes down which ranks form the planner's group, for the entries to read. */
+/** Publishes which ranks form the planner's group, for the entries to read. */
 import { toFailure, type Emit } from "../internal.js";
 import {
   GROUPS_STREAM,
@@ -13,8 +13,8 @@
 }
 
 export class GroupReporter {
-  /** The last note that the store has taken, as it was written. */
-  private written: Buffer | undefined;
+  /** The last note written, in encoded form. */
+  private lastWritten: Buffer | undefined;
   private isWriting = false;
 
   private constructor(private readonly options: GroupReporterOptions) {}
@@ -24,34 +24,34 @@
   }
 
   /**
-   * The store may not hold the note any more: it came back from an older copy, or
-   * another process has planned meanwhile.
+   * Makes the next report write the note again: the store was restored from an
+   * older copy, or another process has planned meanwhile.
    */
   forget(): void {
-    this.written = undefined;
+    this.lastWritten = undefined;
   }
 
   /**
-   * The planner has seen its whole group. Never waits: a note that can't be
-   * written is written after the next look.
+   * Call when the planner has observed its complete group. Never waits: a note
+   * that can't be written is retried with the next report.
    */
-  look(note: GroupNote): void {
+  report(note: GroupNote): void {
     const value = encodeGroupNote(note);
-    if (this.isWriting || this.written?.equals(value) === true) return;
+    if (this.isWriting || this.lastWritten?.equals(value) === true) return;
     void this.write(note, value);
   }
 
   private async write(note: GroupNote, value: Buffer): Promise<void> {
     const { notes, emit } = this.options;
     this.isWriting = true;
-    // Undone where the store comes back from an older copy while it is written.
-    this.written = value;
+    // Set before the write, so that a `forget` during the write isn't lost.
+    this.lastWritten = value;
     try {
       await notes.put(note.name, value);
       const { name: group, epoch, addresses } = note;
       emit(233, { group, epoch, ranks: addresses.length });
     } catch (error) {
-      if (this.written === value) this.written = undefined;
+      if (this.lastWritten === value) this.lastWritten = undefined;
       const reason = toFailure(error, 1901).message;
       emit(191, { stream: GROUPS_STREAM, reason });
     }
--- a/src/rankmaps/hold-guard.ts
+++ b/src/rankmaps/hold-guard.ts
@@ -1,14 +1,14 @@
 /**
- * Watches over a step that this agent's rank holds for the planner. A planner
- * that dies or freezes between hold and release, or that can't go on because
- * another rank fell silent, would keep the whole group waiting until another
- * one has the seat, seconds later; callers give their streams up by then. The
- * holder's agent ends the step in its place, as any planner would.
+ * Guards a step that this agent's rank holds for the planner. If the planner
+ * dies or freezes between hold and release, or can't continue because another
+ * rank stopped answering, the whole group would wait until another planner has
+ * the lease, seconds later; callers abandon their streams by then. The holder's
+ * agent resolves the step instead, as any planner would.
  */
 import { pause } from "../daemon/background-task.js";
 import { toFailure, type Emit } from "../internal.js";
 import { orderOfLives } from "../membership/life.js";
-import { endHeldStep } from "./held-step.js";
+import { resolveHeldStep } from "./held-step-resolution.js";
 import type { RelayedMaps } from "./relayed-maps.js";
 import { isArmedHolder, type AddressedOrder } from "./switch-orders.js";
 import type {
@@ -25,32 +25,33 @@
   readonly emit: Emit;
   /** All ranks of the group. Throws 1901 or 1607. */
   readonly group: () => Promise<readonly GroupRank[]>;
-  /** What the own rank was told to prepare. */
+  /** Maps that the own rank was told to prepare. */
   readonly maps: RelayedMaps;
   readonly signal: AbortSignal;
 }
 
-/** A rank, and what it showed; undefined while it can't be reached. */
-interface Look {
+/** A rank and its state; undefined while it can't be reached. */
+interface ObservedRank {
   readonly rank: Pick<GroupRank, "order">;
   readonly state: RankState | undefined;
 }
 
 /**
- * From hold to release a planner takes about 20 ms; an order that got no answer
- * adds some 100 ms. Later than this it is taken for frozen, ms.
+ * Time after which the planner counts as frozen, ms. From hold to release it
+ * takes about 20 ms; an order without a response adds some 100 ms.
  */
-const PATIENCE_MS = 150;
-/** Between two looks, ms. */
-const LOOK_INTERVAL_MS = 25;
+const PLANNER_TIMEOUT_MS = 150;
+/** Interval between observations, ms. */
+const POLL_INTERVAL_MS = 25;
 /**
- * A rank whose agent takes longer to answer counts as out of reach for this
- * look, ms: an agent answers in under ten, and the group is waiting. The next
- * look doesn't wait for it: giving a step up takes five.
+ * A rank whose agent takes longer to answer counts as unreachable for this
+ * observation, ms. An agent answers in under ten, and the group is waiting. The
+ * next observation doesn't wait for that rank, because cancelling a switch
+ * takes five observations.
  */
-const LOOK_TIMEOUT_MS = 80;
-/** A group that can't be finished by then needs a planner, ms. */
-const GIVE_UP_MS = 6000;
+const OBSERVE_TIMEOUT_MS = 80;
+/** After this time the step is left to a planner, ms. */
+const MAX_WATCH_MS = 6000;
 
 export class HoldGuard {
   private readonly watched = new Set<WatchedHold>();
@@ -62,9 +63,9 @@
   }
 
   /**
-   * The own rank is about to be told to hold the step. Each hold is watched by
-   * itself: one of an earlier life or epoch, whose group is gone, must not keep
-   * the next one from being watched.
+   * Call before the own rank is told to hold the step. Each hold is watched
+   * separately: one of an earlier incarnation or epoch, whose group no longer
+   * exists, must not prevent the next one from being watched.
    */
   watch(hold: WatchedHold): void {
     const watched = [...this.watched];
@@ -74,94 +75,98 @@
 
   private async run(hold: WatchedHold): Promise<void> {
     this.watched.add(hold);
-    await this.keepWatch(hold);
+    await this.pollUntilResolved(hold);
     this.watched.delete(hold);
   }
 
-  private async keepWatch(hold: WatchedHold): Promise<void> {
+  private async pollUntilResolved(hold: WatchedHold): Promise<void> {
     const { signal, emit } = this.options;
     const { step } = hold;
     const startedAtMs = performance.now();
     const elapsedMs = (): number => performance.now() - startedAtMs;
-    await pause(PATIENCE_MS, signal);
-    const silent = new Set<string>();
-    let isTold = false;
-    while (!signal.aborted && elapsedMs() < GIVE_UP_MS) {
+    await pause(PLANNER_TIMEOUT_MS, signal);
+    const unresponsive = new Set<string>();
+    let isReported = false;
+    while (!signal.aborted && elapsedMs() < MAX_WATCH_MS) {
       try {
         const own = await this.options.port.observe();
         if (!isHeldBy(own, hold)) return;
-        if (!isTold) emit(164, { step, heldMs: Math.round(elapsedMs()) });
-        isTold = true;
-        await this.end(own, hold, silent);
+        if (!isReported) emit(164, { step, heldMs: Math.round(elapsedMs()) });
+        isReported = true;
+        await this.resolve(own, hold, unresponsive);
       } catch (error) {
-        this.note(error);
+        this.reportUnreachable(error);
       }
-      await pause(LOOK_INTERVAL_MS, signal);
+      await pause(POLL_INTERVAL_MS, signal);
     }
   }
 
-  /** `silent`: addresses that gave no answer to the last look. */
-  private async end(
+  /** `unresponsive`: addresses that didn't answer the last observation. */
+  private async resolve(
     own: RankState,
     { fence }: WatchedHold,
-    silent: Set<string>,
+    unresponsive: Set<string>,
   ): Promise<void> {
     const { maps, port } = this.options;
-    const spareMap = maps.spareMap(own.mapVersion);
-    // This agent was started after the map was prepared: a planner's turn.
-    if (spareMap === undefined) return;
-    // Without a look at others, who may be out of reach: nobody is armed.
-    const looks = isArmedHolder(own)
-      ? await this.look(own, silent)
+    const placeholderMap = maps.placeholderMap(own.mapVersion);
+    // This agent started after the map was prepared, so a planner has to
+    // resolve the step.
+    if (placeholderMap === undefined) return;
+    // If the holder isn't armed, no rank is: the others, which may be
+    // unreachable, needn't be observed.
+    const observed = isArmedHolder(own)
+      ? await this.observeGroup(own, unresponsive)
       : [{ rank: port, state: own }];
-    const reached = looks.flatMap(({ state }) => state ?? []);
+    const reached = observed.flatMap(({ state }) => state ?? []);
     const holder = reached.find(({ rank }) => rank === own.rank);
     if (holder === undefined || holder.heldStep !== own.heldStep) return;
     const { highestVersion } = maps;
-    const inputs = { reached, holder, spareMap, highestVersion };
-    await this.send(looks, endHeldStep(inputs), fence);
+    const inputs = { reached, holder, placeholderMap, highestVersion };
+    await this.send(observed, resolveHeldStep(inputs), fence);
   }
 
-  /** What can be reached of the own group in its present epoch. */
-  private async look(
+  /** Observes the reachable ranks of the own group in its current epoch. */
+  private async observeGroup(
     own: RankState,
-    silent: Set<string>,
-  ): Promise<readonly Look[]> {
+    unresponsive: Set<string>,
+  ): Promise<readonly ObservedRank[]> {
     const ranks = await this.options.group();
-    const seen = new Map<GroupRank, RankState>();
-    const asked = ranks.map(async (rank) => {
+    const states = new Map<GroupRank, RankState>();
+    const requests = ranks.map(async (rank) => {
       const state = await this.stateOf(rank);
-      if (state !== undefined) seen.set(rank, state);
+      if (state !== undefined) states.set(rank, state);
     });
-    const isAwaited = ({ address }: GroupRank): boolean => !silent.has(address);
-    const awaited = asked.filter((_, index) => isAwaited(ranks[index]));
-    const timeout = pause(LOOK_TIMEOUT_MS, this.options.signal);
+    const isAwaited = ({ address }: GroupRank): boolean =>
+      !unresponsive.has(address);
+    const awaited = requests.filter((_, index) => isAwaited(ranks[index]));
+    const timeout = pause(OBSERVE_TIMEOUT_MS, this.options.signal);
     await Promise.race([Promise.all(awaited), timeout]);
     for (const rank of ranks) {
-      if (seen.has(rank)) silent.delete(rank.address);
-      else silent.add(rank.address);
+      if (states.has(rank)) unresponsive.delete(rank.address);
+      else unresponsive.add(rank.address);
     }
     return ranks.map((rank) => {
-      const state = seen.get(rank);
-      // Of an earlier life by now: as good as out of reach for this look.
-      const isOver = rank.isOver(state?.startedAtMs);
+      const state = states.get(rank);
+      // A state of an earlier incarnation counts as unreachable for this
+      // observation.
+      const isSuperseded = rank.isSuperseded(state?.startedAtMs);
       const isPresent = state !== undefined && isSameGroup(state, own);
-      return { rank, state: isPresent && !isOver ? state : undefined };
+      return { rank, state: isPresent && !isSuperseded ? state : undefined };
     });
   }
 
   private async send(
-    looks: readonly Look[],
+    observed: readonly ObservedRank[],
     orders: readonly AddressedOrder<AgentOrder>[],
     fence: OrderFence,
   ): Promise<void> {
     await Promise.all(
       orders.map(async ({ rank, order }) => {
-        const to = looks.find(({ state }) => state?.rank === rank)?.rank;
+        const target = observed.find(({ state }) => state?.rank === rank)?.rank;
         try {
-          await to?.order(order, fence);
+          await target?.order(order, fence);
         } catch (error) {
-          this.note(error);
+          this.reportUnreachable(error);
         }
       }),
     );
@@ -170,21 +175,21 @@
   private async stateOf(rank: GroupRank): Promise<RankState | undefined> {
     const request = { withCounts: false, withExperts: false };
     try {
-      const seen = await rank.observe(request);
-      return seen.state;
+      const observation = await rank.observe(request);
+      return observation.state;
     } catch (error) {
-      this.note(error);
+      this.reportUnreachable(error);
       return undefined;
     }
   }
 
-  private note(error: unknown): void {
+  private reportUnreachable(error: unknown): void {
     const { message } = toFailure(error, 1607);
     this.options.emit(223, { reason: message });
   }
 }
 
-/** The step of a later life or epoch may have the same number. */
+/** A later incarnation or epoch may hold a step with the same number. */
 function isHeldBy(
   own: RankState,
   { step, fence, startedAtMs }: WatchedHold,
--- /dev/null
+++ b/src/rankmaps/hold-step-allocator.ts
@@ -0,0 +1,50 @@
+/**
+ * Chooses the step that is held next. A release may be carried out seconds
+ * late. If the same rank held the same step again by then, in a group that has
+ * made no steps meanwhile, the late release would let that step begin with only
+ * some ranks armed. So no step is held twice in an epoch: within a process the
+ * steps only increase, and a process that has just started skips every step
+ * that an earlier process on its VM can have held.
+ */
+
+/**
+ * Steps between the latest step and the held one. From the hold to the release,
+ * the ranks are observed again, then the other ranks and the planner's own are
+ * armed in turn; with fewer steps the group would wait for that.
+ */
+export const HOLD_LEAD_STEPS = 4;
+/**
+ * No step further ahead is held. A group that makes no steps needs no new map,
+ * and the limit bounds what an earlier process can have held.
+ */
+export const MAX_HOLD_LEAD_STEPS = 8;
+
+export class HoldStepAllocator {
+  private epoch: number | undefined;
+  private highestExcluded = 0;
+
+  static create(): HoldStepAllocator {
+    return new HoldStepAllocator();
+  }
+
+  /**
+   * Call when the group was observed. `begun`: the latest step that it has
+   * begun.
+   */
+  onObserved(epoch: number, begun: number): void {
+    if (epoch === this.epoch) return;
+    this.epoch = epoch;
+    this.highestExcluded = begun + MAX_HOLD_LEAD_STEPS;
+  }
+
+  /** Undefined until the group has made a step since it was first observed. */
+  next(begun: number): number | undefined {
+    const step = Math.max(begun + HOLD_LEAD_STEPS, this.highestExcluded + 1);
+    return step > begun + MAX_HOLD_LEAD_STEPS ? undefined : step;
+  }
+
+  /** Call before the hold of the step is ordered. */
+  markUsed(step: number): void {
+    this.highestExcluded = Math.max(this.highestExcluded, step);
+  }
+}
--- a/src/rankmaps/map-planner.ts
+++ b/src/rankmaps/map-planner.ts
@@ -1,9 +1,9 @@
 /**
- * A better expert map that few copies lead to. Every copy takes its rank's
- * link for a while, in which all passes of the group are slower, and by the
- * end of a long copy demand has turned again; so each map brings a rank only a
- * few new experts, those that relieve the group most, and the next map goes on
- * from there.
+ * Plans a better expert map that takes few weight copies. Each copy occupies
+ * its rank's link and slows down every pass of the group while it lasts, and
+ * demand may have shifted again by the end of a long copy. Each map therefore
+ * brings a rank only a few new experts, those that relieve the group most, and
+ * the next map continues from there.
  */
 import { LayerSearch, type SearchStep } from "../balance/layer-search.js";
 import { EMPTY_SLOT, type GroupShape } from "../balance/types.js";
@@ -11,42 +11,47 @@
 import type { MapSets, RankExperts } from "./types.js";
 
 export interface MapLimits {
-  /** Experts that a rank copies for one map, over all sets. */
-  readonly copiesEachRank: number;
-  /** Experts that a rank copies for one map in one set. */
-  readonly copiesEachSet: number;
+  /**
+   * Maximum number of experts that a rank copies for one map, over all sets.
+   */
+  readonly maxCopiesPerRank: number;
+  /** Maximum number of experts that a rank copies for one map in one set. */
+  readonly maxCopiesPerSet: number;
 }
 
 export interface MapPlan {
   readonly sets: MapSets;
   readonly copies: number;
-  /** Work of the most loaded ranks over even work, before and after. */
+  /** Load of the most loaded ranks relative to a balanced load. */
   readonly skewBefore: number;
   readonly skewAfter: number;
 }
 
 /**
- * Part of the work of the most loaded ranks that one copy has to save. A copy
- * slows all passes by a seventh for its time and takes the rank's link.
+ * Share of the most loaded ranks' work that each copy has to save. A copy slows
+ * down every pass by a seventh while it lasts and occupies the rank's link.
+ */
+const MIN_SAVING_PER_COPY = 0.003;
+/**
+ * A set whose slowest rank exceeds the balanced load by less than this share
+ * isn't changed.
  */
-const LEAST_SAVING_EACH_COPY = 0.003;
-/** A set is left alone while its slowest rank is this close to even. */
 const TOLERATED_EXCESS = 0.05;
 
 interface SetState {
   readonly search: LayerSearch;
-  readonly first: Int16Array;
-  readonly even: number;
-  readonly before: number;
+  readonly initialSlots: Int16Array;
+  readonly balancedLoad: number;
+  readonly initialSlowest: number;
   isDone: boolean;
 }
 
-/** One change, in the order in which they were found. */
+/** One change to the map, in the order of the search. */
 interface PlannedStep {
   readonly set: number;
   readonly step: SearchStep;
-  /** Work of the most loaded ranks of all sets once it is made. */
-  readonly slowest: number;
+  /** Sum over all sets of the most loaded rank's work after this step. */
+  readonly totalSlowest: number;
 }
 
 export class MapPlanner {
@@ -60,56 +65,63 @@
   }
 
   /**
-   * Undefined when no map is worth a change. A rank that is slow counts with
-   * what its work takes, so that experts move away from it: all ranks wait for
-   * it in every step.
+   * Undefined when no map justifies its copies. The work of a slow rank is
+   * weighted by the time that it takes, so that experts move away from it: all
+   * ranks wait for it in every step.
    */
   plan(
     map: MapSets,
     tokens: Float64Array,
     speeds: ArrayLike<number>,
   ): MapPlan | undefined {
-    const sets = map.map((ranks, set) => this.load(ranks, tokens, speeds, set));
-    const before = sum(sets.map((set) => set.before));
-    const steps = bestPrefix(this.improve(sets), before);
+    const sets = map.map((ranks, set) =>
+      this.createSetState(ranks, tokens, speeds, set),
+    );
+    const initialSlowest = sum(sets.map((set) => set.initialSlowest));
+    const steps = bestPrefix(this.improve(sets), initialSlowest);
     const last = steps.at(-1);
     if (last === undefined) return undefined;
-    const even = sum(sets.map((set) => set.even));
+    const balancedLoad = sum(sets.map((set) => set.balancedLoad));
     return {
-      sets: sets.map(({ first }, set) => this.rankExperts(first, steps, set)),
+      sets: sets.map(({ initialSlots }, set) =>
+        this.rankExperts(initialSlots, steps, set),
+      ),
       copies: copiesOf(steps),
-      skewBefore: before / even,
-      skewAfter: last.slowest / even,
+      skewBefore: initialSlowest / balancedLoad,
+      skewAfter: last.totalSlowest / balancedLoad,
     };
   }
 
-  private load(
+  private createSetState(
     ranks: MapSets[number],
     tokens: Float64Array,
     speeds: ArrayLike<number>,
     set: number,
   ): SetState {
     const { ranks: count, experts } = this.shape;
-    const own = tokens.subarray(set * experts, (set + 1) * experts);
+    const setTokens = tokens.subarray(set * experts, (set + 1) * experts);
     const search = LayerSearch.create({ ...this.shape, layers: 1 });
-    const first = this.slotsOf(ranks);
-    search.load(first, own, new Float64Array(count), speeds);
+    const initialSlots = this.slotsOf(ranks);
+    search.load(initialSlots, setTokens, new Float64Array(count), speeds);
     return {
       search,
-      first,
-      even: sum(own) / sum(speeds),
-      before: search.slowest,
+      initialSlots,
+      balancedLoad: sum(setTokens) / sum(speeds),
+      initialSlowest: search.slowest,
       isDone: false,
     };
   }
 
-  /** Always relieves the set whose slowest rank is furthest from even. */
+  /**
+   * Repeatedly improves the set whose slowest rank exceeds the balanced load
+   * most.
+   */
   private improve(sets: readonly SetState[]): readonly PlannedStep[] {
-    const taken = new Int32Array(this.shape.ranks);
-    const takenInSet = sets.map(() => new Int32Array(this.shape.ranks));
+    const copiesByRank = new Int32Array(this.shape.ranks);
+    const copiesInSet = sets.map(() => new Int32Array(this.shape.ranks));
     const steps: PlannedStep[] = [];
     for (;;) {
-      const index = worstOf(sets);
+      const index = mostImbalanced(sets);
       if (index === undefined) return steps;
       const set = sets[index];
       const step = set.search.improve(1).at(0);
@@ -117,16 +129,16 @@
         set.isDone = true;
         continue;
       }
-      const slowest = sum(sets.map(({ search }) => search.slowest));
-      steps.push({ set: index, step, slowest });
+      const totalSlowest = sum(sets.map(({ search }) => search.slowest));
+      steps.push({ set: index, step, totalSlowest });
       for (const slot of step.slots) {
         const rank = Math.floor(slot / this.shape.slotsPerRank);
-        taken[rank] += 1;
-        takenInSet[index][rank] += 1;
-        if (takenInSet[index][rank] >= this.limits.copiesEachSet) {
+        copiesByRank[rank] += 1;
+        copiesInSet[index][rank] += 1;
+        if (copiesInSet[index][rank] >= this.limits.maxCopiesPerSet) {
           set.search.close(rank);
         }
-        if (taken[rank] >= this.limits.copiesEachRank) {
+        if (copiesByRank[rank] >= this.limits.maxCopiesPerRank) {
           for (const { search } of sets) search.close(rank);
         }
       }
@@ -143,12 +155,12 @@
   }
 
   private rankExperts(
-    first: Int16Array,
+    initialSlots: Int16Array,
     steps: readonly PlannedStep[],
     set: number,
   ): RankExperts {
     const { ranks, slotsPerRank } = this.shape;
-    const slots = Array.from(first);
+    const slots = Array.from(initialSlots);
     for (const { step } of steps.filter((planned) => planned.set === set)) {
       step.slots.forEach((slot, index) => {
         slots[slot] = step.experts[index];
@@ -162,18 +174,21 @@
   }
 }
 
-/** The steps up to which the work saved most outweighs the copies. */
+/**
+ * The prefix of the steps with the highest net saving after the cost of its
+ * copies.
+ */
 function bestPrefix(
   steps: readonly PlannedStep[],
-  before: number,
+  initialSlowest: number,
 ): readonly PlannedStep[] {
-  const price = before * LEAST_SAVING_EACH_COPY;
+  const minimumSaving = initialSlowest * MIN_SAVING_PER_COPY;
   let copies = 0;
   let best = 0;
   let bestValue = 0;
-  steps.forEach(({ step, slowest }, index) => {
+  steps.forEach(({ step, totalSlowest }, index) => {
     copies += step.slots.length;
-    const value = before - slowest - copies * price;
+    const value = initialSlowest - totalSlowest - copies * minimumSaving;
     if (value <= bestValue) return;
     best = index + 1;
     bestValue = value;
@@ -185,15 +200,16 @@
   return sum(steps.map(({ step }) => step.slots.length));
 }
 
-function worstOf(sets: readonly SetState[]): number | undefined {
+function mostImbalanced(sets: readonly SetState[]): number | undefined {
   let worst: number | undefined;
-  let mostExcess = 0;
-  sets.forEach(({ search, even, isDone }, index) => {
-    if (isDone || search.slowest <= even * (1 + TOLERATED_EXCESS)) return;
-    const excess = search.slowest - even;
-    if (excess <= mostExcess) return;
+  let largestExcess = 0;
+  sets.forEach(({ search, balancedLoad, isDone }, index) => {
+    if (isDone || search.slowest <= balancedLoad * (1 + TOLERATED_EXCESS))
+      return;
+    const excess = search.slowest - balancedLoad;
+    if (excess <= largestExcess) return;
     worst = index;
-    mostExcess = excess;
+    largestExcess = excess;
   });
   return worst;
 }
--- a/src/rankmaps/pace-reporter.ts
+++ b/src/rankmaps/pace-reporter.ts
@@ -1,4 +1,4 @@
-/** Writes down which ranks of a group are slow, for the entries to read. */
+/** Publishes which ranks of a group are slow, for the entries to read. */
 import { toFailure, type Emit, type Now } from "../internal.js";
 import { orderOfLives, type LifeStart } from "../membership/life.js";
 import {
@@ -9,13 +9,18 @@
 } from "../membership/slow-runners.js";
 import type { KeyedWriter } from "../platform/keyed-topic.js";
 
-/** A slow rank's note is written again well before it lapses, ms. */
-const REFRESH_MS = NOTE_LASTS_MS / 2;
-/** Below this a slow rank has recovered; in between, nothing changes. */
-const NORMAL_BELOW = 1.25;
+/** A slow rank's note is refreshed well before it expires, ms. */
+const REFRESH_INTERVAL_MS = NOTE_LASTS_MS / 2;
+/**
+ * Slowness below which a slow rank has recovered; in between, its status stays.
+ */
+const RECOVERED_BELOW = 1.25;
 
-/** Notes that the store may lose when it comes back from an older copy, ms. */
-const REWRITTEN_MS = 60_000;
+/**
+ * Notes written within this time may be lost when the store is restored from an
+ * older copy, ms.
+ */
+const STORE_LOSS_WINDOW_MS = 60_000;
 
 export interface PaceReporterOptions {
   readonly notes: KeyedWriter;
@@ -23,20 +28,20 @@
   readonly emit: Emit;
 }
 
-/** The last note of a slow rank. */
-interface Noted {
+/** The last note published for a slow rank. */
+interface WrittenNote {
   readonly startedAtMs: LifeStart;
   /** Monotonic, ms. */
   readonly atMs: number;
 }
 
 export class PaceReporter {
-  /** Slow ranks by address. */
-  private readonly noted = new Map<string, Noted>();
-  /** When a rank's note was last written, by address, monotonic ms. */
-  private readonly written = new Map<string, number>();
-  /** Written before the store came back: they may be gone. */
-  private readonly lost = new Set<string>();
+  /** Published notes of slow ranks, by address. */
+  private readonly slowNotes = new Map<string, WrittenNote>();
+  /** Time of the last write for each address, monotonic, ms. */
+  private readonly writtenAtMs = new Map<string, number>();
+  /** Addresses whose notes may have been lost when the store was restored. */
+  private readonly possiblyLost = new Set<string>();
   private isWriting = false;
 
   private constructor(private readonly options: PaceReporterOptions) {}
@@ -46,37 +51,38 @@
   }
 
   /**
-   * The store came back from an older copy. Notes are written again, also those
-   * of ranks that have recovered, which the copy may show slow.
+   * Call after the store was restored from an older copy. Recent notes are
+   * written again, including those of recovered ranks, which the copy may list
+   * as slow.
    */
-  onStoreReturned(): void {
-    const sinceMs = this.options.now() - REWRITTEN_MS;
-    for (const [address, atMs] of this.written) {
-      if (atMs >= sinceMs) this.lost.add(address);
+  onStoreRestored(): void {
+    const sinceMs = this.options.now() - STORE_LOSS_WINDOW_MS;
+    for (const [address, atMs] of this.writtenAtMs) {
+      if (atMs >= sinceMs) this.possiblyLost.add(address);
     }
   }
 
   /**
-   * Takes what the ranks show now. Never waits: a note that can't be written is
-   * written after the next look.
+   * Publishes changes in the ranks' current pace. Never waits: a note that
+   * can't be written is retried with the next report.
    */
-  look(ranks: readonly PaceNote[]): void {
+  report(ranks: readonly PaceNote[]): void {
     const changed = ranks.filter((rank) => this.isDue(rank));
     if (changed.length === 0 || this.isWriting) return;
     void this.write(changed);
   }
 
   private isDue({ address, slowness, startedAtMs }: PaceNote): boolean {
-    if (this.lost.has(address)) return true;
-    const noted = this.noted.get(address);
+    if (this.possiblyLost.has(address)) return true;
+    const noted = this.slowNotes.get(address);
     if (noted === undefined) return slowness >= SLOW_FROM;
     const order = orderOfLives(noted.startedAtMs, startedAtMs);
     const sinceMs = this.options.now() - noted.atMs;
-    // Unless the note has lapsed unrenewed: then a clock was set back.
+    // An expired, unrefreshed note means that the clock was set back.
     if (order === "earlier") return sinceMs >= NOTE_LASTS_MS;
-    // The note of an earlier life says nothing of this one.
-    if (order === "later" || slowness < NORMAL_BELOW) return true;
-    return sinceMs >= REFRESH_MS;
+    // A note about an earlier incarnation doesn't apply to this one.
+    if (order === "later" || slowness < RECOVERED_BELOW) return true;
+    return sinceMs >= REFRESH_INTERVAL_MS;
   }
 
   private async write(changed: readonly PaceNote[]): Promise<void> {
@@ -86,13 +92,13 @@
       for (const note of changed) {
         await notes.put(note.address, encodePaceNote(note));
         const { address, slowness, startedAtMs } = note;
-        this.noteWritten(address);
-        if (!this.isNoted(note) || slowness < SLOW_FROM) {
+        this.markWritten(address);
+        if (!this.hasSlowNote(note) || slowness < SLOW_FROM) {
           emit(224, { address, slowness });
         }
-        const isSlow = slowness >= this.slowFrom(note);
-        if (isSlow) this.noted.set(address, { startedAtMs, atMs: now() });
-        else this.noted.delete(address);
+        const isSlow = slowness >= this.slowThreshold(note);
+        if (isSlow) this.slowNotes.set(address, { startedAtMs, atMs: now() });
+        else this.slowNotes.delete(address);
       }
     } catch (error) {
       emit(191, { stream: "pace", reason: toFailure(error, 1901).message });
@@ -100,19 +106,19 @@
     this.isWriting = false;
   }
 
-  private noteWritten(address: string): void {
-    this.written.set(address, this.options.now());
-    this.lost.delete(address);
+  private markWritten(address: string): void {
+    this.writtenAtMs.set(address, this.options.now());
+    this.possiblyLost.delete(address);
   }
 
-  /** Whether this life of the rank was slow by its last note. */
-  private isNoted({ address, startedAtMs }: PaceNote): boolean {
-    const noted = this.noted.get(address);
+  /** Whether the last note lists this incarnation of the rank as slow. */
+  private hasSlowNote({ address, startedAtMs }: PaceNote): boolean {
+    const noted = this.slowNotes.get(address);
     if (noted === undefined) return false;
     return orderOfLives(noted.startedAtMs, startedAtMs) === "same";
   }
 
-  private slowFrom(note: PaceNote): number {
-    return this.isNoted(note) ? NORMAL_BELOW : SLOW_FROM;
+  private slowThreshold(note: PaceNote): number {
+    return this.hasSlowNote(note) ? RECOVERED_BELOW : SLOW_FROM;
   }
 }
--- a/src/rankmaps/planner-seat.ts
+++ b/src/rankmaps/planner-seat.ts
@@ -1,13 +1,13 @@
 /**
- * Which agent plans for a group: a seat that the platform's store gives to one
- * member of a consumer group. The generation of the assignment rises with each
- * change and fences the orders of whoever held the seat before.
+ * Leader election for a group's planner: a lease that the platform's store
+ * grants to one member of a consumer group. The generation of the assignment
+ * increases with each change and fences the orders of earlier holders.
  *
- * While the store is away the holder goes on: nobody else can get the seat
- * then, and if the store gave it away unseen, the newer generation's orders
- * overtake ours. When the store comes back from an older copy, it may give the
- * seat and its generations out again: whoever had it has it no more until the
- * store says so anew.
+ * While the store is unreachable the holder keeps planning. Nobody else can get
+ * the lease then, and if the store has granted it to someone else unnoticed,
+ * the orders of that newer generation fence ours. When the store is restored
+ * from an older copy, it may grant the lease under a generation that was used
+ * before, so a holder loses the lease until the store grants it again.
  */
 import { pause } from "../daemon/background-task.js";
 import {
@@ -17,17 +17,17 @@
   type Emit,
 } from "../internal.js";
 import { FIRST_ERA } from "../platform/store-era.js";
-import { generationOf, isNumberable } from "./map-versions.js";
+import { generationAcrossEras, hasSafeVersions } from "./map-versions.js";
 
 export interface SeatAssignment {
-  /** Rises with each change, within one era of the store. */
+  /** Increases with each change within one era of the store. */
   readonly generation: number;
   readonly era: number;
   readonly isHolder: boolean;
 }
 
 export interface SeatService {
-  /** Joins, or stays in, the group. Throws 1901. */
+  /** Joins the group or renews the membership. Throws 1901. */
   readonly join: (
     group: string,
     member: string,
@@ -37,98 +37,102 @@
   readonly leave: (group: string, member: string) => Promise<void>;
 }
 
-export interface PlannerSeatOptions {
+export interface PlannerLeaseOptions {
   readonly service: SeatService;
   readonly emit: Emit;
-  /** The store's, as far as any of its answers has told. */
+  /** Latest era of the store reported by any of its responses. */
   readonly era: () => number;
-  /** New for every life of the process, so that a restart is a change. */
+  /**
+   * Unique for every run of the process, so that a restart counts as a change.
+   */
   readonly member: string;
   readonly leastLeaseMs: number;
 }
 
 /**
- * Silence after which a member has lost the seat, ms: a group is without a
- * planner for that long when its planner is killed.
+ * Time without a renewal after which a member loses the lease, ms: a group has
+ * no planner for this long when its planner is killed.
  */
 const LEASE_MS = 1600;
-/** Several renewals fit a lease, so that one lost answer costs nothing. */
-const RENEWALS_EACH_LEASE = 3;
 /**
- * Renewals while assignments change, ms. When all agents of a group start
- * together, the seat moves with most joins: its holder hears of that with its
- * next renewal, and the one after it with its own. At the usual pace the group
- * would have no planner for seconds.
+ * Several renewals fit into a lease, so that one lost response doesn't matter.
+ */
+const RENEWALS_PER_LEASE = 3;
+/**
+ * Renewal interval while assignments change, ms. When all agents of a group
+ * start together, the lease moves with most joins, and each holder learns of
+ * that only with its next renewal. At the normal interval the group would have
+ * no planner for seconds.
  */
 const UNSETTLED_INTERVAL_MS = 120;
-/** Assignments that haven't changed for so long are settled, ms. */
+/** Assignments that haven't changed for this long count as settled, ms. */
 const SETTLED_AFTER_MS = 700;
 
-/** Time to the next renewal, ms. */
+/** Time until the next renewal, ms. */
 export function renewalPauseMs(leaseMs: number, sinceChangeMs: number): number {
-  const settledMs = leaseMs / RENEWALS_EACH_LEASE;
+  const settledMs = leaseMs / RENEWALS_PER_LEASE;
   if (sinceChangeMs >= SETTLED_AFTER_MS) return settledMs;
   return Math.min(settledMs, UNSETTLED_INTERVAL_MS);
 }
 
-const NO_SEAT: SeatAssignment = {
+const NO_ASSIGNMENT: SeatAssignment = {
   generation: 0,
   era: FIRST_ERA,
   isHolder: false,
 };
 
-export class PlannerSeat {
-  private assignment: SeatAssignment = NO_SEAT;
-  private givenUp = -1;
-  /** The store may count this process among the group's members. */
+export class PlannerLease {
+  private assignment: SeatAssignment = NO_ASSIGNMENT;
+  private relinquished = -1;
+  /** Whether the store may list this process as a member of the group. */
   private isMember = false;
-  private isLost = false;
+  private isStoreUnreachable = false;
   private changedAtMs = performance.now();
-  private nextTurn: Deferred<undefined> = createDeferred();
+  private nextChange: Deferred<undefined> = createDeferred();
 
-  private constructor(private readonly options: PlannerSeatOptions) {}
+  private constructor(private readonly options: PlannerLeaseOptions) {}
 
-  static create(options: PlannerSeatOptions): PlannerSeat {
-    return new PlannerSeat(options);
+  static create(options: PlannerLeaseOptions): PlannerLease {
+    return new PlannerLease(options);
   }
 
   /**
-   * Fences the holder's orders, and rises over all eras of the store; undefined
-   * without the seat.
+   * Fences the holder's orders and increases across eras of the store;
+   * undefined while this process doesn't hold the lease.
    */
   get generation(): number | undefined {
     const { era, generation, isHolder } = this.assignment;
-    if (!isHolder || !isNumberable(era, generation)) return undefined;
-    if (this.isGivenUp || era !== this.options.era()) return undefined;
-    return this.number;
+    if (!isHolder || !hasSafeVersions(era, generation)) return undefined;
+    if (this.isRelinquished || era !== this.options.era()) return undefined;
+    return this.fullGeneration;
   }
 
-  /** Resolves when the seat next comes or goes. */
-  get turn(): Promise<undefined> {
-    return this.nextTurn.promise;
+  /** Resolves when the lease is next acquired or lost. */
+  get change(): Promise<undefined> {
+    return this.nextChange.promise;
   }
 
   /**
-   * Nothing can be ordered under this generation any more: somebody with a
-   * higher one has used it, or its versions are used up.
+   * Stops planning under this generation: someone has used a higher one, or its
+   * versions are used up.
    */
-  giveUp(): void {
-    this.givenUp = this.number;
+  relinquish(): void {
+    this.relinquished = this.fullGeneration;
   }
 
   /**
-   * Keeps this process in the group until the signal aborts, while it stands for
-   * the seat; a holder stays.
+   * Keeps this process in the group while it is a candidate, until the signal
+   * aborts. A holder stays.
    */
   async run(
     group: string,
     signal: AbortSignal,
-    stands: () => boolean,
+    isCandidate: () => boolean,
   ): Promise<void> {
     const { leastLeaseMs } = this.options;
     const leaseMs = Math.max(leastLeaseMs, LEASE_MS);
     while (!signal.aborted) {
-      if (stands() || this.assignment.isHolder) {
+      if (isCandidate() || this.assignment.isHolder) {
         await this.renew(group, leaseMs);
       } else if (this.isMember) await this.withdraw(group);
       const sinceChangeMs = performance.now() - this.changedAtMs;
@@ -141,70 +145,77 @@
     const { service, member, emit } = this.options;
     this.isMember = true;
     try {
-      if (this.isGivenUp) await this.giveBack(group);
-      // Taken for one of this era, the number would confirm what wasn't seen.
-      const isPresent = this.assignment.era === this.options.era();
-      const generation = isPresent ? this.assignment.generation : 0;
+      if (this.isRelinquished) await this.releaseRelinquished(group);
+      // Naming a generation of an earlier era would confirm assignments that
+      // this process hasn't seen.
+      const isCurrentEra = this.assignment.era === this.options.era();
+      const generation = isCurrentEra ? this.assignment.generation : 0;
       const next = await service.join(group, member, generation, leaseMs);
-      if (this.isLost) emit(192, { stream: "seats", outageMs: 0 });
-      this.isLost = false;
-      this.take(next);
+      if (this.isStoreUnreachable) emit(192, { stream: "seats", outageMs: 0 });
+      this.isStoreUnreachable = false;
+      this.updateAssignment(next);
     } catch (error) {
-      if (!this.isLost) {
+      if (!this.isStoreUnreachable) {
         emit(191, { stream: "seats", reason: toFailure(error, 1901).message });
       }
-      this.isLost = true;
+      this.isStoreUnreachable = true;
     }
   }
 
-  /** That of the assignment, over all eras. */
-  private get number(): number {
+  /** The assignment's generation, comparable across eras. */
+  private get fullGeneration(): number {
     const { era, generation } = this.assignment;
-    return generationOf(era, generation);
+    return generationAcrossEras(era, generation);
   }
 
-  private get isGivenUp(): boolean {
-    return this.assignment.isHolder && this.number <= this.givenUp;
+  private get isRelinquished(): boolean {
+    return this.assignment.isHolder && this.fullGeneration <= this.relinquished;
   }
 
   /**
-   * The seat is ours and of no use. Nobody plans until it has a new generation.
+   * Leaves the group so that the store grants the lease under a new generation;
+   * nobody plans until then.
    */
-  private async giveBack(group: string): Promise<void> {
+  private async releaseRelinquished(group: string): Promise<void> {
     const { service, member } = this.options;
     await service.leave(group, member);
-    this.takeNone();
+    this.clearAssignment();
   }
 
-  private take(next: SeatAssignment): void {
+  private updateAssignment(next: SeatAssignment): void {
     const { emit } = this.options;
     const before = this.assignment;
-    const fencing = this.number;
+    const fencing = this.fullGeneration;
     this.assignment = next;
-    if (fencing !== this.number) this.changedAtMs = performance.now();
+    if (fencing !== this.fullGeneration) this.changedAtMs = performance.now();
     const isSameEra = before.era === next.era;
     if (before.isHolder && !isSameEra) {
-      emit(174, { fencing, reason: "store came back" });
+      emit(174, { fencing, reason: "store restored from an older copy" });
     }
     if ((before.isHolder && isSameEra) === next.isHolder) return;
-    this.nextTurn.resolve(undefined);
-    this.nextTurn = createDeferred();
-    if (next.isHolder) emit(173, { fencing: this.number });
+    this.nextChange.resolve(undefined);
+    this.nextChange = createDeferred();
+    if (next.isHolder) emit(173, { fencing: this.fullGeneration });
     else emit(174, { fencing, reason: "superseded" });
   }
 
-  /** Others stand: left in the group, it might get the seat. */
+  /**
+   * Others are candidates; if this process stayed in the group, the store might
+   * grant it the lease.
+   */
   private async withdraw(group: string): Promise<void> {
     await this.leave(group);
     this.isMember = false;
-    this.takeNone();
+    this.clearAssignment();
   }
 
-  private takeNone(): void {
-    this.take({ ...NO_SEAT, era: this.assignment.era });
+  private clearAssignment(): void {
+    this.updateAssignment({ ...NO_ASSIGNMENT, era: this.assignment.era });
   }
 
-  /** So that the next one need not wait for the lease to run out. */
+  /**
+   * Leaves early, so that the next holder needn't wait for the lease to expire.
+   */
   private async leave(group: string): Promise<void> {
     const { service, member, emit } = this.options;
     try {
--- a/src/rankmaps/rank-agent.ts
+++ b/src/rankmaps/rank-agent.ts
@@ -1,6 +1,6 @@
 /**
- * The agent beside a rank: answers the planner of the group from its own
- * runner, whose counters are fresh and cost nothing there.
+ * gRPC service of the agent on a rank's VM. Answers the group's planner from
+ * its own runner, whose counters are current and free to read locally.
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import { toFailure } from "../internal.js";
@@ -15,7 +15,7 @@
 } from "../wire/generated/rankmaps.js";
 import { CountDeltas } from "./count-deltas.js";
 import {
-  expertsOf,
+  expertsOfSameIncarnation,
   readOrder,
   writeObservation,
   writeResult,
@@ -26,15 +26,19 @@
 export interface RankAgentOptions {
   readonly port: RankPort;
   readonly maps: RelayedMaps;
-  /** A planner, or the guard of a held step, looks at the own rank. */
+  /**
+   * Called when a planner or the guard of a held step observes the own rank.
+   */
   readonly onObserved: () => void;
-  /** host:port of the group's runners in the epoch, as its planner says. */
+  /**
+   * host:port of the group's runners in the epoch, as announced by its planner.
+   */
   readonly onMembers: (epoch: number, members: readonly string[]) => void;
-  /** The planner is about to have a step held at the own rank. */
+  /** Called before the planner orders the own rank to hold a step. */
   readonly onHold: (hold: WatchedHold) => void;
 }
 
-const REFUSED: RankOrderReply = {
+const UNKNOWN_ORDER_REPLY: RankOrderReply = {
   isAccepted: false,
   isFenced: false,
   status: 0,
@@ -90,18 +94,23 @@
       withCounts ? port.counts() : undefined,
       withExperts ? port.experts() : undefined,
     ]);
-    const counts = counted === undefined ? [] : this.deltas.take(counted);
+    const counts = counted === undefined ? [] : this.deltas.update(counted);
     const countedMs = counted === undefined ? 0 : this.elapsedMs();
-    return { state, counts, countedMs, experts: expertsOf(state, held) };
+    return {
+      state,
+      counts,
+      countedMs,
+      experts: expertsOfSameIncarnation(state, held),
+    };
   }
 
   private async order(request: RankOrderRequest): Promise<RankOrderReply> {
     const order = readOrder(request);
-    if (order === undefined) return REFUSED;
+    if (order === undefined) return UNKNOWN_ORDER_REPLY;
     const { epoch, fencing, members } = request;
     const fence = { epoch, fencing };
     if (members.length > 0) this.options.onMembers(epoch, members);
-    if (order.kind === "prepare") this.options.maps.note(order);
+    if (order.kind === "prepare") this.options.maps.record(order);
     return writeResult(await this.options.port.order(order, fence));
   }
 
--- a/src/rankmaps/rank-client.ts
+++ b/src/rankmaps/rank-client.ts
@@ -1,4 +1,4 @@
-/** A rank of the group as its planner reaches it: over the agent beside it. */
+/** gRPC client through which the planner reaches a rank's agent. */
 import {
   Metadata,
   type ChannelOptions,
@@ -24,23 +24,24 @@
 } from "./types.js";
 
 /**
- * An agent answers in a few milliseconds; a rank whose answer takes longer is
- * asked again, because a step may be held meanwhile.
+ * An agent answers within a few milliseconds. A call that takes longer is
+ * cancelled and retried, because a step may be held meanwhile.
  */
 const CALL_TIMEOUT_MS = 250;
 
 /**
- * Between two attempts to connect, ms. The library begins with a second, which
- * a group that restarts as a whole would have to wait for its last agent.
+ * Delay between connection attempts, ms. With the library's initial delay of
+ * one second, a group that restarts as a whole would wait that long for its
+ * last agent.
  */
-const FIRST_RECONNECT_MS = 100;
-const LONGEST_RECONNECT_MS = 1000;
+const MIN_RECONNECT_BACKOFF_MS = 100;
+const MAX_RECONNECT_BACKOFF_MS = 1000;
 
 const rankChannelOptions: ChannelOptions = {
   ...channelOptions,
-  "grpc.initial_reconnect_backoff_ms": FIRST_RECONNECT_MS,
-  "grpc.min_reconnect_backoff_ms": FIRST_RECONNECT_MS,
-  "grpc.max_reconnect_backoff_ms": LONGEST_RECONNECT_MS,
+  "grpc.initial_reconnect_backoff_ms": MIN_RECONNECT_BACKOFF_MS,
+  "grpc.min_reconnect_backoff_ms": MIN_RECONNECT_BACKOFF_MS,
+  "grpc.max_reconnect_backoff_ms": MAX_RECONNECT_BACKOFF_MS,
 };
 
 type Reply<T> = (error: ServiceError | null, value: T) => void;
@@ -68,7 +69,9 @@
     return readObservation(reply);
   }
 
-  /** Throws 1607: the order may have been carried out, or may yet be. */
+  /**
+   * Throws 1607; the order may still have been carried out, or may be later.
+   */
   async order(
     order: AgentOrder,
     fence: OrderFence,
--- a/src/rankmaps/rank-messages.ts
+++ b/src/rankmaps/rank-messages.ts
@@ -1,4 +1,6 @@
-/** Between the types of this aggregate and the messages between agents. */
+/**
+ * Converts between the types of this module and the messages between agents.
+ */
 import { orderOfLives } from "../membership/life.js";
 import type {
   ObserveReply,
@@ -18,10 +20,10 @@
 } from "./types.js";
 
 /**
- * The experts that belong to the state: a rank may start anew between the two
- * answers, and the map of one life isn't that of the other.
+ * The experts that belong to the state. A rank may restart between the two
+ * responses, and the two incarnations' maps differ.
  */
-export function expertsOf(
+export function expertsOfSameIncarnation(
   state: RankState,
   held: HeldExperts | undefined,
 ): RankExperts {
--- a/src/rankmaps/reachable-rank.ts
+++ b/src/rankmaps/reachable-rank.ts
@@ -1,18 +1,18 @@
 /**
- * A rank by way of the agent beside it, or straight at its runner while the
- * agent doesn't answer: a frozen or killed agent must not keep its whole group
- * waiting at a held step. Counts are left out then; reading them from afar
- * makes the group pause.
+ * Access to a rank through its agent, or directly to its runner while the agent
+ * doesn't answer: a frozen or killed agent must not keep the whole group
+ * waiting at a held step. Direct access returns no counts, because reading them
+ * remotely makes the group pause.
  *
- * What an earlier life of the runner says, once a later one was seen, counts as
- * no answer: an order that it took proves nothing, because the later life knows
- * neither the order nor its fencing number. Taken for done, a step could begin
- * with this rank on the old map.
+ * A response of an earlier incarnation is treated as a failure once a later one
+ * was seen. An order that the earlier one accepted proves nothing, because the
+ * later one knows neither the order nor its fencing number. If it counted as
+ * done, a step could begin with this rank on the old map.
  */
 import { raise, type Now } from "../internal.js";
 import type { LifeStart } from "../membership/life.js";
-import { LatestLife } from "./latest-life.js";
-import { expertsOf } from "./rank-messages.js";
+import { LatestIncarnation } from "./latest-incarnation.js";
+import { expertsOfSameIncarnation } from "./rank-messages.js";
 import type {
   AgentOrder,
   GroupRank,
@@ -24,25 +24,27 @@
 } from "./types.js";
 
 /**
- * An agent that didn't answer is asked again after this time, ms: every such
- * call takes a quarter of a second from the planner.
+ * Delay before an agent that timed out is called again, ms; each such call
+ * costs the planner a quarter of a second.
  */
-const SILENT_RETRY_MS = 1000;
+const UNRESPONSIVE_RETRY_MS = 1000;
 /**
- * An agent that isn't there, which shows at once, is asked again after this
- * time, ms. Only agents give counts: after a restart of all VMs the planner had
- * none for the second that it waited for the agents it had been ahead of.
+ * Delay before an agent that refused the connection is called again, ms. Only
+ * agents provide counts: with the longer delay, a planner that is up before the
+ * other agents after a restart of all VMs would have no counts for a second.
  */
 const ABSENT_RETRY_MS = 100;
-/** A failure within this time comes from a VM without an agent, ms. */
-const AT_ONCE_MS = 50;
+/**
+ * A call that fails within this time, ms, means that no agent runs on the VM.
+ */
+const IMMEDIATE_FAILURE_MS = 50;
 
-const EARLIER_LIFE = "answer of an earlier life";
+const EARLIER_INCARNATION = "response from an earlier incarnation";
 
-/** A rank by way of its agent alone. */
+/** Access to a rank through its agent only. */
 export interface AgentRank {
   readonly observe: GroupRank["observe"];
-  /** `members`: host:port of the group's runners, with a map to prepare. */
+  /** `members`: host:port of the group's runners; sent with a prepare order. */
   readonly order: (
     order: AgentOrder,
     fence: OrderFence,
@@ -63,62 +65,63 @@
 
 export function createReachableRank(options: ReachableRankOptions): GroupRank {
   const { address, agent, runner, now, members } = options;
-  const lives = LatestLife.create(now);
+  const incarnations = LatestIncarnation.create(now);
   let retryAtMs = Number.NEGATIVE_INFINITY;
-  const admit = (startedAtMs: LifeStart): void => {
-    const order = lives.see(startedAtMs);
-    if (order === "earlier") raise(1607, { address, reason: EARLIER_LIFE });
-    // The agent that was silent beside the earlier life may be back as well.
+  const checkIncarnation = (startedAtMs: LifeStart): void => {
+    const order = incarnations.observe(startedAtMs);
+    if (order === "earlier")
+      raise(1607, { address, reason: EARLIER_INCARNATION });
+    // The VM may have restarted as a whole, so the agent may be back, too.
     if (order === "later") retryAtMs = Number.NEGATIVE_INFINITY;
   };
-  const admitState = (seen: Observation): Observation => {
-    admit(seen.state.startedAtMs);
+  const acceptState = (seen: Observation): Observation => {
+    checkIncarnation(seen.state.startedAtMs);
     return seen;
   };
-  const admitResult = (result: OrderResult): OrderResult => {
-    admit(result.startedAtMs);
+  const acceptResult = (result: OrderResult): OrderResult => {
+    checkIncarnation(result.startedAtMs);
     return result;
   };
-  const attempt = async <T>(
-    over: () => Promise<T>,
-    otherwise: () => Promise<T>,
+  const withFallback = async <T>(
+    viaAgent: () => Promise<T>,
+    viaRunner: () => Promise<T>,
   ): Promise<T> => {
-    if (now() < retryAtMs) return otherwise();
+    if (now() < retryAtMs) return viaRunner();
     const startedAtMs = now();
     try {
-      return await over();
+      return await viaAgent();
     } catch {
-      // Whatever kept the agent from answering: the runner itself may.
-      const isAbsent = now() - startedAtMs < AT_ONCE_MS;
-      retryAtMs = now() + (isAbsent ? ABSENT_RETRY_MS : SILENT_RETRY_MS);
-      return otherwise();
+      // The runner may answer even if the agent doesn't.
+      const isAbsent = now() - startedAtMs < IMMEDIATE_FAILURE_MS;
+      retryAtMs = now() + (isAbsent ? ABSENT_RETRY_MS : UNRESPONSIVE_RETRY_MS);
+      return viaRunner();
     }
   };
   return {
     address,
     observe: (request) =>
-      attempt(
-        async () => admitState(await agent.observe(request)),
+      withFallback(
+        async () => acceptState(await agent.observe(request)),
         async () =>
-          admitState(await observeRunner(runner, request.withExperts)),
+          acceptState(await observeRunner(runner, request.withExperts)),
       ),
     order: (order, fence) =>
-      attempt(
+      withFallback(
         async () => {
-          const told = order.kind === "prepare" ? members() : [];
-          return admitResult(await agent.order(order, fence, told));
+          const announced = order.kind === "prepare" ? members() : [];
+          return acceptResult(await agent.order(order, fence, announced));
         },
-        async () => admitResult(await runner.order(order, fence)),
+        async () => acceptResult(await runner.order(order, fence)),
       ),
-    // Given straight to the runner: the agent's VM only has to let the step go.
-    // The VM that orders a hold may stand still right after it, and then the
-    // one that can let the step go must not be the same.
+    // The hold goes directly to the runner, and the agent only guards it. The
+    // VM that orders the hold may freeze right afterwards, so another VM must
+    // be able to release the step.
     hold: async (hold) => {
       await agent.guard(hold);
       const order = { kind: "hold", step: hold.step } as const;
-      return admitResult(await runner.order(order, hold.fence));
+      return acceptResult(await runner.order(order, hold.fence));
     },
-    isOver: (startedAtMs) => lives.isOver(startedAtMs),
+    isSuperseded: (startedAtMs) => incarnations.isSuperseded(startedAtMs),
   };
 }
 
@@ -128,6 +131,6 @@
 ): Promise<Observation> {
   const state = await runner.observe();
   const held = withExperts ? await runner.experts() : undefined;
-  const experts = expertsOf(state, held);
+  const experts = expertsOfSameIncarnation(state, held);
   return { state, counts: [], countedMs: 0, experts };
 }
--- a/src/rankmaps/relayed-maps.ts
+++ b/src/rankmaps/relayed-maps.ts
@@ -1,6 +1,6 @@
 /**
- * The maps that a rank was told to prepare over its agent: what the agent needs
- * to make a held step's version void when the planner can't.
+ * The maps that an agent has relayed to its rank in prepare orders. The agent
+ * needs one to cancel a held step's version when the planner can't.
  */
 import type { MapSets } from "./types.js";
 
@@ -9,30 +9,33 @@
   readonly sets: MapSets;
 }
 
-/** The one in use, the one that is to follow, and what was given up between. */
-const KEPT = 4;
+/** Covers the active map, the next one and the cancelled ones in between. */
+const MAX_RETAINED_MAPS = 4;
 
 export class RelayedMaps {
-  /** By rising version. */
-  private kept: readonly RelayedMap[] = [];
+  /** In ascending order of version. */
+  private retained: readonly RelayedMap[] = [];
 
   static create(): RelayedMaps {
     return new RelayedMaps();
   }
 
-  /** 0 before the first. */
+  /** 0 until a map has been recorded. */
   get highestVersion(): number {
-    return this.kept.at(-1)?.version ?? 0;
+    return this.retained.at(-1)?.version ?? 0;
   }
 
-  note(map: RelayedMap): void {
+  record(map: RelayedMap): void {
     if (map.version <= this.highestVersion) return;
-    this.kept = [...this.kept, map].slice(-KEPT);
+    this.retained = [...this.retained, map].slice(-MAX_RETAINED_MAPS);
   }
 
-  /** The map in use, since it needs no copies, or else any. */
-  spareMap(mapVersion: number): MapSets | undefined {
-    const inUse = this.kept.find(({ version }) => version === mapVersion);
-    return (inUse ?? this.kept.at(-1))?.sets;
+  /**
+   * The active map, since preparing it copies no weights; otherwise the latest
+   * one.
+   */
+  placeholderMap(mapVersion: number): MapSets | undefined {
+    const inUse = this.retained.find(({ version }) => version === mapVersion);
+    return (inUse ?? this.retained.at(-1))?.sets;
   }
 }
--- a/src/rankmaps/switch-orders.ts
+++ b/src/rankmaps/switch-orders.ts
@@ -1,17 +1,17 @@
 /**
- * What has to be ordered next so that all ranks of a group change to a map at
- * one and the same step. Decided from what the ranks show alone, so whoever
- * plans next can finish a switch that another one began.
+ * Determines the next orders so that all ranks of a group switch to a map at
+ * the same step. The decision depends only on the ranks' reported states, so
+ * the next planner can complete a switch that another one started.
  *
- * A rank that was told to arm may carry that out seconds after its answer was
- * due. So a step is held before the first rank is armed for it, and released
- * only when all ranks show that they are armed, or when none can be any more.
- * A hold costs the group a pause at worst, two maps in one step a wrong answer.
+ * A rank may carry out an arm order seconds after its response was due. So a
+ * step is held before the first rank is armed for it, and released only when
+ * all ranks report that they are armed, or when none can be any more. At worst
+ * a hold pauses the group, while two maps in one step give wrong answers.
  *
- * The rank that holds the step is armed first, and by nobody but the planner
- * that had it held; the rank before it is armed last, once all others are. So a
- * holder that isn't armed tells that nobody is, and a rank that can't be armed
- * any more tells that the last one isn't.
+ * The rank that holds the step is armed first, and only by the planner that
+ * ordered the hold; the rank before it is armed last, once all others are. So
+ * an unarmed holder implies that no rank is armed, and a rank that can't be
+ * armed any more implies that the last one isn't.
  */
 import type { AgentOrder, RankOrder, RankState } from "./types.js";
 
@@ -20,8 +20,11 @@
   readonly order: Order;
 }
 
-/** All ranks of one epoch; undefined while they don't show that. */
-export function wholeGroup(
+/**
+ * The states if they cover all ranks of one group and epoch; otherwise
+ * undefined.
+ */
+export function completeGroup(
   states: readonly RankState[],
 ): readonly RankState[] | undefined {
   const first = states.at(0);
@@ -36,16 +39,18 @@
   return ranks.size === size ? states : undefined;
 }
 
-/** What a switch that is under way needs. */
+/** State of a switch in progress. */
 export type PendingSwitch =
   | { readonly kind: "none" }
-  /** All ranks are armed and let go: the step comes by itself. */
+  /**
+   * All ranks are armed and released; the step begins without further orders.
+   */
   | { readonly kind: "coming" }
   | {
       readonly kind: "orders";
       readonly orders: readonly AddressedOrder<AgentOrder>[];
     }
-  /** Held by ranks that aren't armed for what they hold: nobody is. */
+  /** The holding ranks aren't armed for what they hold, so no rank is. */
   | { readonly kind: "unarmed"; readonly holders: readonly RankState[] }
   /** Some rank can't be armed any more for what this holder is armed for. */
   | { readonly kind: "call-off"; readonly holder: RankState };
@@ -59,9 +64,11 @@
   const armed = holder ?? states.find((state) => state.armed !== undefined);
   if (armed?.armed === undefined) return { kind: "none" };
   const { version, step } = armed.armed;
-  const unarmed = states.filter((state) => !isBound(state, version, step));
+  const unarmed = states.filter(
+    (state) => !isArmedOrSwitched(state, version, step),
+  );
   if (unarmed.length === 0) {
-    const orders = releases(states);
+    const orders = releaseOrders(states);
     return orders.length === 0
       ? { kind: "coming" }
       : { kind: "orders", orders };
@@ -75,25 +82,25 @@
       : { kind: "call-off", holder };
   }
   const order = { kind: "arm", version, step } as const;
-  const wave = armingWave(unarmed, holder);
+  const wave = nextToArm(unarmed, holder);
   return { kind: "orders", orders: wave.map(({ rank }) => ({ rank, order })) };
 }
 
-/** Whether the rank is armed for the very step that it holds. */
+/** Whether the rank is armed for the step that it holds. */
 export function isArmedHolder({ armed, heldStep }: RankState): boolean {
   return heldStep !== undefined && armed?.step === heldStep;
 }
 
 /**
- * The rank that is armed once all others are. That of the planner that orders a
- * hold: it sees the others' confirmations first, and while its VM stands still
- * it can't be asked.
+ * The rank that is armed after all others. It is the rank of the planner that
+ * orders a hold: the planner sees the others' confirmations first, and its own
+ * rank can't be reached while its VM is frozen.
  */
-export function lastArmed({ rank, size }: RankState): number {
+export function lastRankToArm({ rank, size }: RankState): number {
   return (rank + size - 1) % size;
 }
 
-export function isInForce(
+export function isMapActive(
   states: readonly RankState[],
   version: number,
 ): boolean {
@@ -101,11 +108,12 @@
 }
 
 /**
- * The group as it is once the orders are carried out; undefined where only
- * another look can tell: an arm may have been carried out between the last look
- * and a disarm, and a version is prepared once its copies are there.
+ * The states after the orders are carried out. Undefined where the group has to
+ * be observed again: an arm may have been carried out between the last
+ * observation and a disarm, and a version is prepared only once its copies are
+ * complete.
  */
-export function afterOrders(
+export function applyOrders(
   states: readonly RankState[],
   orders: readonly AddressedOrder[],
 ): readonly RankState[] | undefined {
@@ -116,11 +124,11 @@
   return states.map((state) =>
     orders
       .filter(({ rank }) => rank === state.rank)
-      .reduce((before, { order }) => afterOrder(before, order), state),
+      .reduce((before, { order }) => applyOrder(before, order), state),
   );
 }
 
-function afterOrder(state: RankState, order: RankOrder): RankState {
+function applyOrder(state: RankState, order: RankOrder): RankState {
   switch (order.kind) {
     case "prepare":
     case "disarm":
@@ -137,21 +145,21 @@
 }
 
 /** The holder is armed already; the last rank waits for all others. */
-function armingWave(
+function nextToArm(
   unarmed: readonly RankState[],
   holder: RankState | undefined,
 ): readonly RankState[] {
   if (holder === undefined) return unarmed;
-  const last = lastArmed(holder);
+  const last = lastRankToArm(holder);
   const others = unarmed.filter(({ rank }) => rank !== last);
   return others.length > 0 ? others : unarmed;
 }
 
 /**
- * Armed for the step, or changed to the map already: ranks are looked at one
- * after the other, and the step may begin in between.
+ * Whether the rank is armed for the step or has switched already. Ranks are
+ * observed one after the other, and the step may begin in between.
  */
-function isBound(
+function isArmedOrSwitched(
   { armed, mapVersion }: RankState,
   version: number,
   step: number,
@@ -160,7 +168,7 @@
   return armed?.version === version && armed.step === step;
 }
 
-function releases(
+function releaseOrders(
   states: readonly RankState[],
 ): readonly AddressedOrder<AgentOrder>[] {
   return states.flatMap(({ rank, heldStep: step }) =>
--- a/src/rankmaps/types.ts
+++ b/src/rankmaps/types.ts
@@ -1,66 +1,67 @@
 /**
- * Types of expert maps at engines that hold a step by order: what a rank
- * tells, what it can be told, and the map of a group.
+ * Types shared by the expert-map planner, the agents and the platform adapters:
+ * rank state, orders and maps. They apply to engines that can hold a step on
+ * request.
  */
 
 import type { LifeStart } from "../membership/life.js";
 
-/** Said by one life of a runner; tells nothing of a later one. */
-export interface OfLife {
+/** Reported by one incarnation of a runner; not valid for a later one. */
+export interface IncarnationScoped {
   readonly startedAtMs: LifeStart;
 }
 
 export interface ArmedMap {
   readonly version: number;
-  /** The rank changes to the map as it begins this step. */
+  /** The rank switches to the map when it begins this step. */
   readonly step: number;
 }
 
-/** What a rank tells of itself. */
-export interface RankState extends OfLife {
-  /** Group that the platform has formed; its ranks make every step together. */
+/** State that a rank reports about itself. */
+export interface RankState extends IncarnationScoped {
+  /** Group formed by the platform; its ranks execute every step together. */
   readonly group: string;
-  /** New whenever the group was formed anew. */
+  /** Changes whenever the group is formed again. */
   readonly epoch: number;
   readonly rank: number;
   readonly size: number;
   /** False while a rank of the group is missing. */
   readonly isOpen: boolean;
-  /** The last step that was begun. */
+  /** Latest step that was begun. */
   readonly step: number;
   readonly mapVersion: number;
-  /** Version of which the rank has all weights. */
+  /** Version whose weights the rank has loaded completely. */
   readonly preparedVersion: number | undefined;
   readonly armed: ArmedMap | undefined;
   /** Step that the group doesn't begin until this rank is released. */
   readonly heldStep: number | undefined;
-  /** How many times as long as usual the rank takes for its work. */
+  /** Ratio of the rank's processing time to its normal one; 1 is normal. */
   readonly slowness: number;
 }
 
-/** How often this rank's requests chose each expert. */
-export interface RankCounts extends OfLife {
+/** How often this rank's requests selected each expert. */
+export interface RankCounts extends IncarnationScoped {
   readonly epoch: number;
-  /** Since the rank's start: set * experts + expert. */
+  /** Cumulative since the rank started; indexed by set * experts + expert. */
   readonly counts: readonly number[];
 }
 
 /** The experts of one rank, by set. */
 export type RankExperts = readonly (readonly number[])[];
 
-/** What a rank has on it. */
-export interface HeldExperts extends OfLife {
+/** Experts that are loaded on a rank. */
+export interface HeldExperts extends IncarnationScoped {
   readonly experts: RankExperts;
 }
 
-/** A map: experts by set and rank. */
+/** An expert map: experts by set and rank. */
 export type MapSets = readonly (readonly (readonly number[])[])[];
 
-/** A map that all ranks are to change to. */
+/** A map that all ranks are to switch to. */
 export interface MapGoal {
   readonly version: number;
   readonly sets: MapSets;
-  /** Rank that holds the step. */
+  /** Rank that holds the step during the switch. */
   readonly holder: number;
 }
 
@@ -75,34 +76,44 @@
   | HoldOrder
   | { readonly kind: "release"; readonly step: number };
 
-/** The step isn't begun before it is released. */
+/** The group doesn't begin the step until this rank is released. */
 export interface HoldOrder {
   readonly kind: "hold";
   readonly step: number;
 }
 
-/** What is ordered over the agent beside a rank. */
+/**
+ * Orders that are sent through the rank's agent; holds go to the runner
+ * directly.
+ */
 export type AgentOrder = Exclude<RankOrder, HoldOrder>;
 
-/** Makes an order harmless once it is out of date. */
+/**
+ * Lets a rank reject an order from an earlier epoch or a superseded planner.
+ */
 export interface OrderFence {
   readonly epoch: number;
   readonly fencing: number;
 }
 
 export type OrderOutcome =
-  /** `isDone`: the rank is in the ordered state, not only on its way. */
+  /**
+   * `isDone`: the rank has reached the ordered state, rather than only started
+   * towards it.
+   */
   | { readonly kind: "accepted"; readonly isDone: boolean }
   | { readonly kind: "refused"; readonly status: number }
-  /** A planner with a higher fencing number has ordered already. */
+  /** An order with a higher fencing number has been accepted already. */
   | { readonly kind: "fenced" };
 
-/** What became of an order, as the life that took it or refused it says. */
-export type OrderResult = OfLife & OrderOutcome;
+/**
+ * Result of an order, reported by the incarnation that accepted or refused it.
+ */
+export type OrderResult = IncarnationScoped & OrderOutcome;
 
 /**
- * One rank, as the adapter of a platform reaches it. All throw 1607, and 1903
- * for an answer that can't be decoded.
+ * Access to one rank's runner, implemented by the platform adapter. All methods
+ * throw 1607, and 1903 for a response that can't be decoded.
  */
 export interface RankPort {
   readonly observe: () => Promise<RankState>;
@@ -111,23 +122,28 @@
   readonly order: (order: RankOrder, fence: OrderFence) => Promise<OrderResult>;
 }
 
-/** What an agent answers, decoded. */
+/** Decoded response of an agent. */
 export interface Observation {
   readonly state: RankState;
-  /** Since the last observation with counts; empty unless asked for. */
+  /**
+   * Selections per expert since the last observation with counts; empty unless
+   * requested.
+   */
   readonly counts: readonly number[];
   readonly countedMs: number;
-  /** By set; empty unless asked for. */
+  /** By set; empty unless requested. */
   readonly experts: RankExperts;
 }
 
-/** A hold that the planner is about to order, at one life of the runner. */
-export interface WatchedHold extends OfLife {
+/**
+ * A hold that the planner is about to order from one incarnation of a runner.
+ */
+export interface WatchedHold extends IncarnationScoped {
   readonly step: number;
   readonly fence: OrderFence;
 }
 
-/** A rank that can be reached. */
+/** Access to a rank through its agent or its runner. */
 export interface GroupRank {
   /** host:port of its runner. */
   readonly address: string;
@@ -139,8 +155,11 @@
     order: AgentOrder,
     fence: OrderFence,
   ) => Promise<OrderResult>;
-  /** Has the rank hold a step, with its agent watching over it. */
+  /**
+   * Orders the rank to hold a step after its agent has started to guard the
+   * hold.
+   */
   readonly hold: (hold: WatchedHold) => Promise<OrderResult>;
-  /** Whether a later life of the runner than this one has been seen. */
-  readonly isOver: (startedAtMs: LifeStart) => boolean;
+  /** Whether a later incarnation of the runner has been seen. */
+  readonly isSuperseded: (startedAtMs: LifeStart) => boolean;
 }
--- a/tests/rankmaps/candidacy.test.ts
+++ b/tests/rankmaps/candidacy.test.ts
@@ -1,42 +1,43 @@
 import * as assert from "uvu/assert";
 import {
   Candidacy,
-  STANDING_RANKS,
-  UNOBSERVED_MS,
+  CANDIDATE_RANKS,
+  UNOBSERVED_TIMEOUT_MS,
 } from "../../src/rankmaps/candidacy.js";
 import { describe, it } from "../support/describe.js";
 
-const GROUP = 64;
+const GROUP_SIZE = 64;
 
-class Site {
+class AgentGroup {
   nowMs = 0;
-  readonly agents = Array.from({ length: GROUP }, () =>
+  readonly agents = Array.from({ length: GROUP_SIZE }, () =>
     Candidacy.create(() => this.nowMs),
   );
 
-  /** Agents that stand for the seat. */
-  get standing(): number {
-    return this.agents.filter((agent, rank) => agent.stands(rank)).length;
+  /** Agents that are candidates for the lease. */
+  get candidateCount(): number {
+    return this.agents.filter((agent, rank) => agent.isCandidate(rank)).length;
   }
 }
 
 describe("agents of a large group", () => {
-  it("stand for its seat by a few while somebody plans", () => {
-    // All 64 of three groups called the store twice a second for three seats.
-    const site = new Site();
-    assert.is(site.standing, STANDING_RANKS);
-    for (let look = 0; look < 100; look += 1) {
+  it("have only a few candidates while an agent plans", () => {
+    // Without the limit, all 64 agents of each of three groups called the store
+    // twice a second for three leases.
+    const site = new AgentGroup();
+    assert.is(site.candidateCount, CANDIDATE_RANKS);
+    for (let observation = 0; observation < 100; observation += 1) {
       site.nowMs += 250;
       for (const agent of site.agents) agent.onObserved();
     }
-    assert.is(site.standing, STANDING_RANKS);
+    assert.is(site.candidateCount, CANDIDATE_RANKS);
   });
 
-  it("stand by all when nobody looks at their ranks any more", () => {
-    // The VMs of the first ranks are cut off from the store, and their runners
-    // work on: a planner is needed, and any agent will do.
-    const site = new Site();
-    site.nowMs += UNOBSERVED_MS;
-    assert.is(site.standing, GROUP);
+  it("all become candidates when nobody observes their ranks", () => {
+    // The VMs of the first ranks are cut off from the store while their runners
+    // keep working. A planner is needed, and any agent can take over.
+    const site = new AgentGroup();
+    site.nowMs += UNOBSERVED_TIMEOUT_MS;
+    assert.is(site.candidateCount, GROUP_SIZE);
   });
 });
--- a/tests/rankmaps/group-planner.test.ts
+++ b/tests/rankmaps/group-planner.test.ts
@@ -15,7 +15,7 @@
   createReachableRank,
   type AgentRank,
 } from "../../src/rankmaps/reachable-rank.js";
-import { SwitchRuns } from "../../src/rankmaps/switch-run.js";
+import { SwitchCoordinators } from "../../src/rankmaps/switch-coordinator.js";
 import type {
   GroupRank,
   OrderFence,
@@ -25,7 +25,7 @@
   RankState,
 } from "../../src/rankmaps/types.js";
 import { describe, it } from "../support/describe.js";
-import { HeldEngines } from "./held-engines.js";
+import { SimulatedEngines } from "./simulated-engines.js";
 
 const RANKS = 4;
 const PLANNER = 0;
@@ -39,30 +39,32 @@
   maximumNewExperts: 1,
   expertCopyMs: 400,
 };
-/** The first expert is wanted far more than the others. */
+/** The first expert is in much higher demand than the others. */
 const COUNTS = [40_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000];
-/** Demand has turned to the last one. */
-const TURNED_COUNTS = COUNTS.toReversed();
+/** Demand has shifted to the last expert. */
+const SHIFTED_COUNTS = COUNTS.toReversed();
 
-const LOOK = { withCounts: false, withExperts: false };
+const OBSERVE_REQUEST = { withCounts: false, withExperts: false };
 
-/** Called once an engine has taken or refused an order, before its answer. */
-type OrderWatch = (
+/**
+ * Called after an engine has accepted or refused an order, before its response.
+ */
+type OrderCallback = (
   rank: number,
   order: RankOrder,
   fence: OrderFence,
 ) => void | Promise<void>;
 
-class Group {
-  readonly engines = HeldEngines.create(RANKS, createRandom(1));
-  readonly ordered: { readonly rank: number; readonly kind: string }[] = [];
+class PlannedGroup {
+  readonly engines = SimulatedEngines.create(RANKS, createRandom(1));
+  readonly orderLog: { readonly rank: number; readonly kind: string }[] = [];
   /** Versions that ranks were told to prepare. */
   readonly versions: number[] = [];
-  private readonly runs = SwitchRuns.create();
+  private readonly coordinators = SwitchCoordinators.create();
   /** Ranks that don't answer any more. */
-  readonly silent = new Set<number>();
+  readonly unresponsive = new Set<number>();
   counts: readonly number[] = COUNTS;
-  onOrder: OrderWatch = () => undefined;
+  onOrder: OrderCallback = () => undefined;
 
   readonly ranks: readonly GroupRank[] = Array.from(
     { length: RANKS },
@@ -72,17 +74,17 @@
   planner = this.createPlanner();
 
   constructor() {
-    this.engines.calm();
+    this.engines.disableFaults();
   }
 
-  /** In the same process and generation of the seat, knowing no map. */
+  /** In the same process and lease generation, without knowledge of a map. */
   createPlanner(group = "g"): GroupPlanner {
     return GroupPlanner.create({
-      seat: { generation: 1, giveUp: () => undefined },
-      runs: this.runs,
+      lease: { generation: 1, relinquish: () => undefined },
+      coordinators: this.coordinators,
       emit: ignoreEvents,
       measurements: ignoreMeasurements,
-      pace: { look: () => undefined },
+      pace: { report: () => undefined },
       engine: ENGINE,
       group,
       epoch: this.engines.epoch,
@@ -90,7 +92,7 @@
     });
   }
 
-  async play(steps: number): Promise<void> {
+  async run(steps: number): Promise<void> {
     for (let step = 0; step < steps; step += 1) {
       await this.planner.step(this.ranks);
       this.engines.pass();
@@ -98,7 +100,7 @@
   }
 
   kindsAt(rank: number): readonly string[] {
-    return this.ordered
+    return this.orderLog
       .filter((one) => one.rank === rank)
       .map(({ kind }) => kind);
   }
@@ -108,18 +110,18 @@
     for (let pass = 0; pass < 10; pass += 1) this.engines.pass();
   }
 
-  /** The rank starts again, and somebody in this process has seen it. */
-  async startAgain(rank: number): Promise<void> {
-    this.engines.startAgain(rank);
-    await this.ranks[rank].observe(LOOK);
+  /** The rank restarts, and this process has observed it. */
+  async restartRank(rank: number): Promise<void> {
+    this.engines.restartEngine(rank);
+    await this.ranks[rank].observe(OBSERVE_REQUEST);
   }
 
   private rankOf(rank: number): GroupRank {
     const order = (ordered: RankOrder, fence: OrderFence) =>
-      this.take(rank, ordered, fence);
+      this.handleOrder(rank, ordered, fence);
     const experts = [[rank, rank + RANKS]];
     const observe = (): RankState => {
-      if (this.silent.has(rank)) return raise(1607);
+      if (this.unresponsive.has(rank)) return raise(1607);
       return this.engines.states()[rank];
     };
     const runner: RankPort = {
@@ -147,13 +149,13 @@
     });
   }
 
-  private async take(
+  private async handleOrder(
     rank: number,
     order: RankOrder,
     fence: OrderFence,
   ): Promise<OrderResult> {
-    if (this.silent.has(rank)) return raise(1607);
-    this.ordered.push({ rank, kind: order.kind });
+    if (this.unresponsive.has(rank)) return raise(1607);
+    this.orderLog.push({ rank, kind: order.kind });
     if (order.kind === "prepare") this.versions.push(order.version);
     const { startedAtMs } = this.engines.stateOf(rank);
     this.engines.send(rank, order, fence);
@@ -171,10 +173,10 @@
 
 describe("planner of a group", () => {
   it("arms its own rank after all others, under a held step", async () => {
-    const group = new Group();
-    await group.play(4);
+    const group = new PlannedGroup();
+    await group.run(4);
     group.passUntilHeld();
-    const arms = group.ordered.filter(({ kind }) => kind === "arm");
+    const arms = group.orderLog.filter(({ kind }) => kind === "arm");
     assert.is(arms.length, RANKS);
     assert.is(arms.at(0)?.rank, HOLDER);
     assert.is(arms.at(-1)?.rank, PLANNER);
@@ -188,38 +190,39 @@
     assert.ok(group.engines.states().every(({ mapVersion }) => mapVersion > 0));
   });
 
-  it("arms nobody when a rank falls silent after the hold", async () => {
-    // The VM of a rank stands still right after the hold. Armed or not, nobody
-    // could tell, so no rank is armed; the holder's agent lets the step go.
-    const group = new Group();
+  it("arms no rank when one stops answering after the hold", async () => {
+    // The VM of a rank freezes right after the hold. Nobody could tell whether
+    // the rank was armed, so no rank is armed, and the holder's agent releases
+    // the step.
+    const group = new PlannedGroup();
     group.onOrder = (_, { kind }) => {
-      if (kind === "hold") group.silent.add(3);
+      if (kind === "hold") group.unresponsive.add(3);
     };
-    await group.play(1);
+    await group.run(1);
     const failed = await errorOf(group.planner.step(group.ranks));
     assert.ok(failed instanceof Error);
     assert.equal(group.kindsAt(HOLDER), ["prepare", "hold"]);
-    assert.not.ok(group.ordered.some(({ kind }) => kind === "arm"));
+    assert.not.ok(group.orderLog.some(({ kind }) => kind === "arm"));
   });
 
-  it("goes on with its versions after a rank was out of reach", async () => {
-    // A rank is behind a cut for a second. The planner is made anew, under the
-    // same seat, and the ranks have had its versions: counted from one again,
-    // one map after the other is refused while the streams are late. And one
-    // version may not stand for two maps.
-    const group = new Group();
-    await group.play(14);
+  it("continues its version numbers after a rank was unreachable", async () => {
+    // A rank is unreachable for a second. The planner is created again under
+    // the same lease, and the ranks have had its versions. If versions were
+    // counted from one again, one map after the other would be refused while
+    // the streams are late. And one version may not name two maps.
+    const group = new PlannedGroup();
+    await group.run(14);
     const [first] = group.versions;
     assert.is(group.engines.states()[0].mapVersion, first);
-    group.silent.add(2);
+    group.unresponsive.add(2);
     const failed = await group.planner
       .step(group.ranks)
       .catch((error: unknown) => error);
     assert.ok(failed instanceof Error);
-    group.silent.delete(2);
+    group.unresponsive.delete(2);
     group.versions.length = 0;
     group.planner = group.createPlanner();
-    await group.play(14);
+    await group.run(14);
     assert.ok(group.versions.length > 0);
     assert.ok(group.versions.every((version) => version > first));
     assert.ok(
@@ -227,20 +230,20 @@
     );
   });
 
-  it("uses no version for two maps when it begins anew", async () => {
-    // A rank is out of reach for a moment while the others prepare. The planner
-    // begins anew, demand has turned, and it makes another map. Under the same
-    // version some ranks would hold the first map and some the second, and
+  it("uses no version for two maps when it is created again", async () => {
+    // A rank is unreachable for a moment while the others prepare. The planner
+    // is created again, demand has shifted, and it plans another map. Under the
+    // same version some ranks would hold the first map and some the second, and
     // none of them could tell.
-    const group = new Group();
+    const group = new PlannedGroup();
     const prepared: Extract<RankOrder, { kind: "prepare" }>[] = [];
     group.onOrder = (_, order) => {
       if (order.kind === "prepare") prepared.push(order);
-      group.silent.add(3);
+      group.unresponsive.add(3);
     };
     await group.planner.step(group.ranks);
-    group.silent.clear();
-    group.counts = TURNED_COUNTS;
+    group.unresponsive.clear();
+    group.counts = SHIFTED_COUNTS;
     await group.createPlanner().step(group.ranks);
     const mapsOf = new Map<number, Set<string>>();
     for (const { version, sets } of prepared) {
@@ -252,12 +255,13 @@
     assert.is(most, 1, "maps under one version");
   });
 
-  it("looks again between calling a switch off and letting the step go", async () => {
-    // A step is held that the ranks can't all be armed for. While the orders
-    // that call the switch off are under way, an earlier arm is carried out at
-    // one rank, just before the order that would have made it void. Let go now,
-    // the step would begin with this rank alone on the new map.
-    const group = new Group();
+  it("observes again between cancelling a switch and releasing the step", async () => {
+    // A step is held that not all ranks can be armed for. While the orders that
+    // cancel the switch are in flight, an earlier arm is carried out at one
+    // rank, just before the order that would have cancelled it there. If the
+    // step were released now, it would begin with this rank alone on the new
+    // map.
+    const group = new PlannedGroup();
     const { engines } = group;
     const fence = { epoch: 1, fencing: 2 };
     for (const [rank, version] of [5, 5, 5, 6].entries()) {
@@ -278,12 +282,12 @@
     assert.ok(engines.history.passes > 2);
   });
 
-  it("lets no late release of a call-off through in the next switch", async () => {
-    // A step is held with nothing prepared, and the planner lets it go. The
-    // group makes hardly any steps. The release of before is carried out once
-    // more, when one rank is armed for the next switch: had that one held the
+  it("isn't affected in the next switch by a late release of a cancelled one", async () => {
+    // A step is held with nothing prepared, and the planner releases it. The
+    // group makes hardly any steps. The earlier release is carried out once
+    // more when one rank is armed for the next switch. If that switch held the
     // same step, it would begin with this rank alone on the new map.
-    const group = new Group();
+    const group = new PlannedGroup();
     const { engines } = group;
     engines.send(HOLDER, { kind: "hold", step: 4 }, { epoch: 1, fencing: 2 });
     engines.deliver();
@@ -297,58 +301,66 @@
       engines.deliver();
       group.passUntilHeld();
     };
-    await group.play(8);
+    await group.run(8);
     group.passUntilHeld();
-    assert.ok(group.ordered.some(({ kind }) => kind === "arm"));
+    assert.ok(group.orderLog.some(({ kind }) => kind === "arm"));
     assert.ok(engines.history.switches > 0);
     assert.is(engines.history.mixedPasses, 0);
   });
 
-  describe("that goes on from where an earlier planner was", () => {
-    const EARLIER = { epoch: 1, fencing: 2 };
+  describe("that continues an earlier planner's switch", () => {
+    const EARLIER_FENCE = { epoch: 1, fencing: 2 };
     const VERSION = 4;
 
     /** Prepared and held; `armed` are the ranks that are armed. */
-    function begun(
+    function switchInProgress(
       armed: readonly number[],
       versions: readonly number[] = [VERSION, VERSION, VERSION, VERSION],
-    ): Group {
-      const group = new Group();
+    ): PlannedGroup {
+      const group = new PlannedGroup();
       const { engines } = group;
       for (const [rank, version] of versions.entries()) {
-        engines.send(rank, { kind: "prepare", version, sets: [] }, EARLIER);
+        engines.send(
+          rank,
+          { kind: "prepare", version, sets: [] },
+          EARLIER_FENCE,
+        );
       }
-      engines.send(HOLDER, { kind: "hold", step: 3 }, EARLIER);
-      for (const rank of armed) carryOutLate(group, rank, ARM);
+      engines.send(HOLDER, { kind: "hold", step: 3 }, EARLIER_FENCE);
+      for (const rank of armed) deliverLate(group, rank, ARM);
       engines.deliver();
       return group;
     }
 
     const ARM = { kind: "arm", version: VERSION, step: 3 } as const;
 
-    /** An order of the earlier planner is carried out only now. */
-    function carryOutLate(group: Group, rank: number, order: RankOrder): void {
-      group.engines.send(rank, order, EARLIER);
+    /** Carries out an order of the earlier planner only now. */
+    function deliverLate(
+      group: PlannedGroup,
+      rank: number,
+      order: RankOrder,
+    ): void {
+      group.engines.send(rank, order, EARLIER_FENCE);
       group.engines.deliver();
     }
 
-    async function finish(group: Group): Promise<void> {
+    async function finish(group: PlannedGroup): Promise<void> {
       for (let step = 0; step < 7; step += 1) {
         await group.planner.step(group.ranks);
         group.passUntilHeld();
       }
     }
 
-    it("lets the step of an unarmed holder go, which refuses a late arm", async () => {
-      // The earlier planner isn't gone: it arms the holder late, at any moment
-      // of the call-off. Armed after the step was let go, it would begin with
-      // this rank alone on the new map.
-      const group = begun([]);
+    it("releases the step of an unarmed holder, which refuses a late arm", async () => {
+      // The earlier planner is still running: it arms the holder late, at any
+      // moment of the cancellation. If the holder were armed after the release,
+      // the step would begin with this rank alone on the new map.
+      const group = switchInProgress([]);
       let lateArms = 0;
       group.onOrder = (rank) => {
         if (rank !== HOLDER || lateArms > 2) return;
         lateArms += 1;
-        carryOutLate(group, HOLDER, ARM);
+        deliverLate(group, HOLDER, ARM);
         group.passUntilHeld();
       };
       await finish(group);
@@ -358,11 +370,12 @@
       assert.ok(group.engines.history.passes > 3);
     });
 
-    it("finishes what it had armed, beside it", async () => {
-      // Its arms are carried out late, also for ranks that are armed by now.
-      const group = begun([HOLDER]);
+    it("completes the switch while the earlier planner is still running", async () => {
+      // The earlier planner's arms are carried out late, also for ranks that
+      // are armed by now.
+      const group = switchInProgress([HOLDER]);
       group.onOrder = () => {
-        for (const rank of [2, 3]) carryOutLate(group, rank, ARM);
+        for (const rank of [2, 3]) deliverLate(group, rank, ARM);
         group.passUntilHeld();
       };
       await finish(group);
@@ -371,14 +384,17 @@
       assert.ok(switches > 0);
     });
 
-    it("calls the switch off with the holder last", async () => {
-      // One rank has been told of another map, so the step can't be used. An
-      // unarmed holder tells everybody that nobody else is armed: disarmed
-      // first, its step would be let go while another rank is armed.
-      const group = begun([HOLDER, 2], [VERSION, VERSION, VERSION, 6]);
+    it("cancels the switch with the holder last", async () => {
+      // One rank has prepared another map, so the step can't be used. An
+      // unarmed holder implies that no other rank is armed: if it were disarmed
+      // first, its step would be released while another rank is armed.
+      const group = switchInProgress(
+        [HOLDER, 2],
+        [VERSION, VERSION, VERSION, 6],
+      );
       const before: (readonly (number | undefined)[])[] = [];
       group.onOrder = (rank, { kind }) => {
-        carryOutLate(group, 0, ARM);
+        deliverLate(group, 0, ARM);
         if (rank === HOLDER && kind === "disarm") {
           const states = group.engines.states();
           before.push(states.map(({ armed }) => armed?.version));
@@ -392,18 +408,19 @@
     });
   });
 
-  describe("when a rank starts again", () => {
-    it("takes no answer of its earlier life for an armed rank", async () => {
-      // The rank takes its arm and starts again, which is seen, and only then
-      // its answer arrives: done. Let go now, the step would begin with this
-      // rank on the first map and all others on the new one.
-      const group = new Group();
+  describe("when a rank restarts", () => {
+    it("doesn't count a rank as armed by its earlier incarnation's response", async () => {
+      // The rank accepts its arm order and restarts; the restart is observed
+      // before the response, which says done, arrives. If the step were
+      // released then, it would begin with this rank on the first map and all
+      // others on the new one.
+      const group = new PlannedGroup();
       const { engines } = group;
       group.onOrder = async (rank, { kind }) => {
         if (kind === "hold") group.passUntilHeld();
         if (kind !== "arm" || rank !== 3) return;
         group.onOrder = () => undefined;
-        await group.startAgain(3);
+        await group.restartRank(3);
       };
       for (let step = 0; step < 6; step += 1) {
         await group.planner.step(group.ranks);
@@ -413,16 +430,16 @@
       assert.ok(engines.history.passes > 4);
     });
 
-    it("lets no step go once another look has shown it", async () => {
-      // All ranks have confirmed their arms. Before the release, a look by
-      // somebody else in this process shows that one has started again.
-      const group = new Group();
+    it("releases no step once another observation has shown the restart", async () => {
+      // All ranks have confirmed their arms. Before the release, another
+      // observation in this process shows that one of them has restarted.
+      const group = new PlannedGroup();
       const { engines } = group;
       group.onOrder = async (rank, { kind }) => {
         if (kind === "hold") group.passUntilHeld();
         if (kind !== "arm" || rank !== PLANNER) return;
         group.onOrder = () => undefined;
-        await group.startAgain(3);
+        await group.restartRank(3);
       };
       for (let step = 0; step < 6; step += 1) {
         await group.planner.step(group.ranks);
@@ -432,25 +449,25 @@
       assert.ok(engines.history.passes > 4);
     });
 
-    it("arms nobody when it was the holder, after its hold", async () => {
-      const group = new Group();
+    it("arms no rank when the holder restarts after its hold", async () => {
+      const group = new PlannedGroup();
       group.onOrder = async (_, { kind }) => {
-        if (kind === "hold") await group.startAgain(HOLDER);
+        if (kind === "hold") await group.restartRank(HOLDER);
       };
       await group.planner.step(group.ranks);
       await group.planner.step(group.ranks);
-      assert.not.ok(group.ordered.some(({ kind }) => kind === "arm"));
+      assert.not.ok(group.orderLog.some(({ kind }) => kind === "arm"));
     });
 
-    it("lets the holder's new life prepare before anything is held again", async () => {
-      const group = new Group();
+    it("has the holder's new incarnation prepare before a step is held again", async () => {
+      const group = new PlannedGroup();
       group.onOrder = async (_, { kind }) => {
         if (kind !== "hold") return;
         group.onOrder = () => undefined;
-        await group.startAgain(HOLDER);
+        await group.restartRank(HOLDER);
       };
       for (let step = 0; step < 6; step += 1) {
-        await group.play(1);
+        await group.run(1);
         await pause(COUNT_INTERVAL_MS / 2, new AbortController().signal);
       }
       const kinds = group.kindsAt(HOLDER);
@@ -458,73 +475,73 @@
       assert.is(group.engines.history.mixedPasses, 0);
     });
 
-    it("plans nothing from the map that the ranks of before held", async () => {
-      // One of them has just started and holds the first map. A plan that was
-      // made from the map of before would have it copy more than it may.
-      const group = new Group();
+    it("doesn't plan from the map held before the restart", async () => {
+      // One of the ranks has just started and holds the first map. A plan made
+      // from the previous map would have it copy more than it may.
+      const group = new PlannedGroup();
       await group.planner.step(group.ranks);
-      const before = group.ordered.length;
-      await group.startAgain(3);
+      const before = group.orderLog.length;
+      await group.restartRank(3);
       await group.planner.step(group.ranks);
-      assert.equal(group.ordered.slice(before), []);
+      assert.equal(group.orderLog.slice(before), []);
     });
 
     for (const kind of ["prepare", "hold", "arm", "release"] as const) {
-      it(`forms a new switch in the new epoch, broken at ${kind}`, async () => {
-        // The group breaks, and forms anew with the first map. Nothing that was
-        // prepared, held or armed before may count.
-        const group = new Group();
+      it(`starts a new switch in the new epoch after a break at ${kind}`, async () => {
+        // The group breaks and is formed again with the first map. Nothing that
+        // was prepared, held or armed before may count.
+        const group = new PlannedGroup();
         const { engines } = group;
         let isBroken = false;
         group.onOrder = (rank, order) => {
           if (isBroken || order.kind !== kind) return;
           isBroken = true;
-          engines.restart(kind === "release" ? 3 : rank);
+          engines.restartAndBreakGroup(kind === "release" ? 3 : rank);
         };
         for (let step = 0; step < 3; step += 1) {
-          await errorOf(group.play(1));
+          await errorOf(group.run(1));
         }
         assert.ok(isBroken);
         assert.ok(
           (await errorOf(group.planner.step(group.ranks))) instanceof Error,
         );
-        engines.form();
-        const before = group.ordered.length;
+        engines.reformGroup();
+        const before = group.orderLog.length;
         const next = group.createPlanner();
         for (let step = 0; step < 6; step += 1) {
           await next.step(group.ranks);
           for (let pass = 0; pass < 5; pass += 1) engines.pass();
         }
-        const again = group.ordered.slice(before, before + RANKS);
+        const again = group.orderLog.slice(before, before + RANKS);
         assert.ok(again.every((one) => one.kind === "prepare"));
         assert.is(engines.history.mixedPasses, 0);
         assert.ok(engines.states().every(({ mapVersion }) => mapVersion > 0));
       });
     }
 
-    it("orders nothing in another group than that of its seat", async () => {
+    it("orders nothing in another group than that of its lease", async () => {
       // The planner's own runner has come back in another group, which has a
-      // planner with a seat of its own. Fencing numbers of two seats say nothing
-      // about each other, and ranks could be armed by both.
-      const group = new Group();
+      // planner with its own lease. Fencing numbers of two leases can't be
+      // compared, so ranks could be armed by both.
+      const group = new PlannedGroup();
       const planner = group.createPlanner("another");
       assert.ok((await errorOf(planner.step(group.ranks))) instanceof Error);
-      assert.equal(group.ordered, []);
+      assert.equal(group.orderLog, []);
     });
 
-    it("orders nothing in an epoch whose ranks it hasn't numbered", async () => {
-      // The planner's own rank starts again, and in the new epoch the ranks are
-      // numbered anew. By the old numbers another rank would be armed last than
-      // the planner's own, and the guard relies on that.
-      const group = new Group();
+    it("orders nothing in an epoch with other rank numbers", async () => {
+      // The planner's own rank restarts, and the ranks are renumbered in the
+      // new epoch. With the old numbers, another rank than the planner's own
+      // would be armed last, and the guard relies on that order.
+      const group = new PlannedGroup();
       const { engines } = group;
       await group.planner.step(group.ranks);
-      engines.restart(PLANNER);
-      engines.form();
-      const before = group.ordered.length;
+      engines.restartAndBreakGroup(PLANNER);
+      engines.reformGroup();
+      const before = group.orderLog.length;
       const error = await errorOf(group.planner.step(group.ranks));
       assert.ok(error instanceof Error);
-      assert.is(group.ordered.length, before);
+      assert.is(group.orderLog.length, before);
     });
   });
 });
--- a/tests/rankmaps/group-reporter.test.ts
+++ b/tests/rankmaps/group-reporter.test.ts
@@ -10,10 +10,10 @@
   addresses: ["10.0.0.1:80"],
 };
 
-function reporting(): {
+function createReporter(): {
   readonly reporter: GroupReporter;
   readonly written: string[];
-  readonly look: (epoch: number) => Promise<void>;
+  readonly report: (epoch: number) => Promise<void>;
   fails: boolean;
 } {
   const written: string[] = [];
@@ -27,41 +27,42 @@
       },
     },
   });
-  const look = async (epoch: number): Promise<void> => {
-    reporter.look({ ...NOTE, epoch });
+  const report = async (epoch: number): Promise<void> => {
+    reporter.report({ ...NOTE, epoch });
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
   };
-  const state = { reporter, written, look, fails: false };
+  const state = { reporter, written, report, fails: false };
   return state;
 }
 
 describe("a planner's note of its group", () => {
   it("is written once for each epoch", async () => {
-    // Each look of each planner would be a call to the store otherwise.
-    const { look, written } = reporting();
-    await look(1);
-    await look(1);
+    // Otherwise every observation of every planner would be a call to the
+    // store.
+    const { report, written } = createReporter();
+    await report(1);
+    await report(1);
     assert.is(written.length, 1);
-    await look(2);
+    await report(2);
     assert.is(written.length, 2);
   });
 
   it("is written after an outage of the store", async () => {
-    const state = reporting();
+    const state = createReporter();
     state.fails = true;
-    await state.look(1);
+    await state.report(1);
     state.fails = false;
-    await state.look(1);
+    await state.report(1);
     assert.is(state.written.length, 1);
   });
 
-  it("is written again once the store came back from an older copy", async () => {
-    const { reporter, look, written } = reporting();
-    await look(1);
+  it("is written again after the store was restored from an older copy", async () => {
+    const { reporter, report, written } = createReporter();
+    await report(1);
     reporter.forget();
-    await look(1);
+    await report(1);
     assert.is(written.length, 2);
   });
 });
--- a/tests/rankmaps/group-search.test.ts
+++ b/tests/rankmaps/group-search.test.ts
@@ -15,7 +15,7 @@
 const FOREIGN = "127.0.0.1:9003";
 const OTHER_GROUP = "127.0.0.1:9101";
 /** Longer than an agent takes from its start to a search, ms. */
-const SEARCH_MS = 1200;
+const SEARCH_WAIT_MS = 1200;
 
 const state: RankState = { ...RANK_STATE, rank: 0, size: 2, step: 0 };
 
@@ -74,16 +74,16 @@
 interface Search {
   readonly addresses: readonly string[];
   readonly isHolder: boolean;
-  /** Records of the register beside those of the addresses. */
+  /** Records of the register in addition to those of the addresses. */
   readonly foreign?: readonly {
     readonly key: string;
     readonly value: Buffer;
   }[];
-  /** Called with each address that is asked. */
+  /** Called with each address that is observed. */
   readonly onAsked: (address: string) => void;
 }
 
-/** `9000` and up are in the own group, `9100` and up in another one. */
+/** Ports from 9000 are in the own group, ports from 9100 in another one. */
 function portAt(address: string, onAsked: (address: string) => void): RankPort {
   const group = address.includes(":91") ? "other" : state.group;
   return {
@@ -129,10 +129,10 @@
 }
 
 describe("an agent's search for the ranks of its group", () => {
-  it("finds them beside entries that name no runner", async () => {
-    // Another program has written into the register. With the reading lost,
-    // the agent knows no other rank: nobody plans, and a held step has no
-    // guard that could finish its switch.
+  it("finds them among records that name no runner", async () => {
+    // Another program has written into the register. If that made the search
+    // fail, the agent would know no other rank: nobody would plan, and a held
+    // step would have no guard that could complete its switch.
     const asked = new Set<string>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER],
@@ -145,10 +145,10 @@
     assert.not.ok(asked.has(FOREIGN));
   });
 
-  it("is made by the planner alone", async () => {
-    // Each agent looked for its group when it started, with a connection to
-    // every runner of the service: with hundreds of them the agents ran out of
-    // memory and were late to their first map.
+  it("is made only by the planner", async () => {
+    // If each agent searched for its group at its start, with a connection to
+    // every runner of the service, agents among hundreds of runners would run
+    // out of memory and be late to their first map.
     const asked = new Set<string>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER],
@@ -157,13 +157,13 @@
     });
     assert.ok(agent);
     await waitFor(() => asked.has(OWN));
-    await pause(SEARCH_MS);
+    await pause(SEARCH_WAIT_MS);
     assert.equal([...asked], [OWN]);
   });
 
-  it("asks runners of another group once", async () => {
-    // Its own group isn't whole for a while, and it is looked for again and
-    // again among all runners of the service.
+  it("observes runners of another group once", async () => {
+    // The own group stays incomplete for a while, so the agent searches for it
+    // repeatedly among all runners of the service.
     const asked = new Map<string, number>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER, OTHER_GROUP],
--- a/tests/rankmaps/hold-guard.test.ts
+++ b/tests/rankmaps/hold-guard.test.ts
@@ -10,27 +10,27 @@
   RankPort,
 } from "../../src/rankmaps/types.js";
 import { describe, it } from "../support/describe.js";
-import { HeldEngines } from "./held-engines.js";
+import { SimulatedEngines } from "./simulated-engines.js";
 
 const RANKS = 4;
 const PLANNER = 0;
 const HOLDER = 1;
-/** The planner's VM stands still. */
+/** Whether the rank is the planner's, whose VM is frozen. */
 const isPlanner = (rank: number): boolean => rank === PLANNER;
 const FENCE = { epoch: 1, fencing: 9 };
 const VERSION = 6;
-/** No VM may keep its group waiting for longer, ms. */
-const LONGEST_HOLD_MS = 500;
+/** A frozen VM may not keep its group waiting for longer, ms. */
+const MAX_HOLD_MS = 500;
 
-/** What the holder's agent has relayed. */
-function relayed(): RelayedMaps {
+/** Maps that the holder's agent has relayed. */
+function relayedMaps(): RelayedMaps {
   const maps = RelayedMaps.create();
-  maps.note({ version: VERSION, sets: [] });
+  maps.record({ version: VERSION, sets: [] });
   return maps;
 }
 
-function armAt(
-  engines: HeldEngines,
+function armRanks(
+  engines: SimulatedEngines,
   ranks: readonly number[],
   fence: OrderFence = FENCE,
 ): void {
@@ -44,27 +44,28 @@
 
 type BeforeOrder = (order: RankOrder) => void;
 
-/** `isStill`: whether the rank's VM stands still, and doesn't answer. */
+/** `isFrozen`: whether the rank's VM is frozen and doesn't answer. */
 function rankOf(
-  engines: HeldEngines,
+  engines: SimulatedEngines,
   rank: number,
-  isStill: () => boolean,
+  isFrozen: () => boolean,
   beforeOrder: BeforeOrder = () => undefined,
 ): GroupRank & RankPort {
   const observe = () => engines.states()[rank];
   return {
     address: `10.0.0.${rank}:1`,
     observe: () => {
-      if (isStill()) return never;
+      if (isFrozen()) return never;
       const state = observe();
-      // As a rank and as a port: one gives the state with what belongs to it.
+      // Serves as a rank and as a port: a port returns the state, a rank an
+      // observation that contains it.
       const observation = { state, counts: [], countedMs: 0, experts: [] };
       return Promise.resolve({ ...state, ...observation });
     },
     counts: () => Promise.reject(failure(1607)),
     experts: () => Promise.reject(failure(1607)),
     order: (order, fence) => {
-      if (isStill()) return never;
+      if (isFrozen()) return never;
       beforeOrder(order);
       engines.send(rank, order, fence);
       const isAccepted = engines.deliver().some((one) => one.rank === rank);
@@ -76,12 +77,12 @@
       );
     },
     hold: () => Promise.reject(failure(1607)),
-    isOver: () => false,
+    isSuperseded: () => false,
   };
 }
 
 function prepareAll(
-  engines: HeldEngines,
+  engines: SimulatedEngines,
   version: number,
   fence: OrderFence,
 ): void {
@@ -91,9 +92,9 @@
   engines.deliver();
 }
 
-function prepared(): HeldEngines {
-  const engines = HeldEngines.create(RANKS, createRandom(1));
-  engines.calm();
+function preparedEngines(): SimulatedEngines {
+  const engines = SimulatedEngines.create(RANKS, createRandom(1));
+  engines.disableFaults();
   prepareAll(engines, VERSION, FENCE);
   engines.send(HOLDER, { kind: "hold", step: 3 }, FENCE);
   engines.deliver();
@@ -101,7 +102,7 @@
 }
 
 async function watchUntil(
-  engines: HeldEngines,
+  engines: SimulatedEngines,
   isDone: () => boolean,
   isFrozen: (rank: number) => boolean = () => false,
   beforeOrder?: BeforeOrder,
@@ -115,7 +116,7 @@
     emit: ignoreEvents,
     group: () => Promise.resolve(ranks),
     signal: stop.signal,
-    maps: relayed(),
+    maps: relayedMaps(),
   });
   const { startedAtMs } = engines.states()[HOLDER];
   guard.watch({ step: 3, fence: FENCE, startedAtMs });
@@ -129,21 +130,22 @@
 }
 
 describe("guard of a held step", () => {
-  it("lets a step go whose planner died before any arm", async () => {
-    // The planner is killed between hold and arms. Without the guard the group
-    // stands still until another planner has the seat, and callers give up.
-    const engines = prepared();
+  it("releases a step whose planner died before any arm", async () => {
+    // The planner is killed between the hold and the arms. Without the guard
+    // the group would stop until another planner has the lease, and callers
+    // would give up.
+    const engines = preparedEngines();
     await watchUntil(engines, () => engines.history.passes > 6);
     assert.is(engines.history.mixedPasses, 0);
     assert.ok(engines.states().every(({ mapVersion }) => mapVersion === 0));
   });
 
-  it("lets a step go whose planner's VM stands still, before any arm", async () => {
-    // The VM freezes right after the hold, its own rank unarmed and out of
-    // reach. Without the guard the group stands still until the VM wakes; with
-    // it, passes go on with the old map, and what the planner arms first when
-    // it wakes refuses that.
-    const engines = prepared();
+  it("releases a step whose planner's VM froze before any arm", async () => {
+    // The VM freezes right after the hold, with its own rank unarmed and
+    // unreachable. Without the guard the group would stop until the VM resumes.
+    // With it, passes continue on the old map, and the rank that the resumed
+    // planner arms first refuses the order.
+    const engines = preparedEngines();
     await watchUntil(engines, () => engines.history.passes > 6, isPlanner);
     const order = { kind: "arm", version: VERSION, step: 99 } as const;
     engines.send(HOLDER, order, FENCE);
@@ -152,29 +154,29 @@
     assert.ok(engines.states().every(({ mapVersion }) => mapVersion === 0));
   });
 
-  it("gives one up between two arms", async () => {
-    const engines = prepared();
-    armAt(engines, [HOLDER, 2]);
+  it("cancels a switch between two arms", async () => {
+    const engines = preparedEngines();
+    armRanks(engines, [HOLDER, 2]);
     await watchUntil(engines, () => engines.history.passes > 6, isPlanner);
     assert.is(engines.history.mixedPasses, 0);
     assert.ok(engines.states().every(({ mapVersion }) => mapVersion === 0));
   });
 
-  it("keeps the step when the planner's own rank may be armed", async () => {
-    // All others are armed, so the planner may have come to its own rank. Let
-    // go without it, a pass would run with two maps.
-    const engines = prepared();
-    armAt(engines, [1, 2, 3]);
+  it("keeps holding the step when the planner's own rank may be armed", async () => {
+    // All others are armed, so the planner may have armed its own rank, too. If
+    // the step were released without it, a pass would run with two maps.
+    const engines = preparedEngines();
+    armRanks(engines, [1, 2, 3]);
     const until = performance.now() + 600;
     await watchUntil(engines, () => performance.now() > until, isPlanner);
     assert.is(engines.states()[HOLDER].heldStep, 3);
     assert.is(engines.history.mixedPasses, 0);
   });
 
-  it("keeps the step when another rank out of reach may be armed", async () => {
-    // The VM of a rank stands still that was told to arm together with others.
-    const engines = prepared();
-    armAt(engines, [HOLDER, 2]);
+  it("keeps holding the step when another unreachable rank may be armed", async () => {
+    // The VM of a rank freezes that was told to arm together with others.
+    const engines = preparedEngines();
+    armRanks(engines, [HOLDER, 2]);
     const until = performance.now() + 600;
     const isThird = (rank: number): boolean => rank === 3;
     await watchUntil(engines, () => performance.now() > until, isThird);
@@ -182,11 +184,11 @@
     assert.is(engines.history.mixedPasses, 0);
   });
 
-  it("finishes the switch when the planner's VM wakes with all others armed", async () => {
-    // The step couldn't be given up: the planner's rank may be armed. Now it
-    // can be reached and isn't.
-    const engines = prepared();
-    armAt(engines, [1, 2, 3]);
+  it("completes the switch when the planner's VM resumes with all others armed", async () => {
+    // The switch couldn't be cancelled, because the planner's rank may be
+    // armed. Now the rank is reachable and isn't armed.
+    const engines = preparedEngines();
+    armRanks(engines, [1, 2, 3]);
     const wakesAt = performance.now() + 500;
     await watchUntil(
       engines,
@@ -199,9 +201,9 @@
     );
   });
 
-  it("finishes one whose planner died between two arms", async () => {
-    const engines = prepared();
-    armAt(engines, [HOLDER]);
+  it("completes a switch whose planner died between two arms", async () => {
+    const engines = preparedEngines();
+    armRanks(engines, [HOLDER]);
     await watchUntil(engines, () => engines.history.passes > 6);
     assert.is(engines.history.mixedPasses, 0);
     assert.ok(
@@ -209,10 +211,10 @@
     );
   });
 
-  describe("while one VM stands still", () => {
-    // Streams: no event for as long as the step is held; callers leave after
-    // two seconds. The VM stands still at any moment of the switch, and what
-    // its rank was told and whether it took it can't be seen.
+  describe("while one VM is frozen", () => {
+    // Streams get no event while the step is held, and callers leave after two
+    // seconds. The VM freezes at any moment of the switch, and whether its rank
+    // received and accepted an order can't be observed.
     const moments = [
       { name: "before any arm", armed: [], frozen: [0, 2, 3] },
       { name: "after the holder's", armed: [HOLDER], frozen: [0] },
@@ -220,52 +222,53 @@
     ];
     for (const { name, armed, frozen } of moments) {
       for (const still of frozen) {
-        it(`goes on soon, ${name} arm and without rank ${still}`, async () => {
-          const engines = prepared();
-          armAt(engines, armed);
+        it(`continues soon, ${name} arm and without rank ${still}`, async () => {
+          const engines = preparedEngines();
+          armRanks(engines, armed);
           const startedAtMs = performance.now();
           const isFrozen = (rank: number): boolean => rank === still;
           await watchUntil(engines, () => engines.history.passes > 3, isFrozen);
-          assert.ok(performance.now() - startedAtMs < LONGEST_HOLD_MS);
+          assert.ok(performance.now() - startedAtMs < MAX_HOLD_MS);
           assert.is(engines.history.mixedPasses, 0);
         });
       }
     }
   });
 
-  describe("when a rank starts again", () => {
-    it("makes its new life void as well", async () => {
-      // The planner's VM stands still, and the rank that it hadn't come to is
-      // void. It starts again and has forgotten that: what the planner had sent
-      // it is carried out there now. Let go by then, the step would begin with
-      // this rank alone on the new map.
-      const engines = prepared();
-      let isBorn = false;
+  describe("when a rank restarts", () => {
+    it("cancels the switch at its new incarnation, too", async () => {
+      // The planner's VM freezes, and the switch is cancelled at the rank that
+      // it hadn't reached. That rank restarts and loses the cancellation, and
+      // the planner's earlier orders are carried out there now. If the step
+      // were released by then, it would begin with this rank alone on the new
+      // map.
+      const engines = preparedEngines();
+      let hasRestarted = false;
       const beforeOrder: BeforeOrder = ({ kind }) => {
         const { preparedVersion = 0 } = engines.stateOf(2);
-        if (kind === "disarm" && !isBorn && preparedVersion > VERSION) {
-          isBorn = true;
-          engines.startAgain(2);
+        if (kind === "disarm" && !hasRestarted && preparedVersion > VERSION) {
+          hasRestarted = true;
+          engines.restartEngine(2);
         }
         if (kind !== "release") return;
         const order = { kind: "prepare", version: VERSION, sets: [] } as const;
         engines.send(2, order, FENCE);
-        armAt(engines, [2]);
+        armRanks(engines, [2]);
       };
-      armAt(engines, [HOLDER, 3]);
+      armRanks(engines, [HOLDER, 3]);
       const isDone = (): boolean => engines.history.passes > 6;
       await watchUntil(engines, isDone, isPlanner, beforeOrder);
-      assert.ok(isBorn);
+      assert.ok(hasRestarted);
       assert.is(engines.history.mixedPasses, 0);
     });
 
-    it("watches the next hold while it still looks for that of before", async () => {
-      // The holder starts again while its hold is watched and can't be seen for
-      // a moment. In the new epoch it is told to hold a step of the same
-      // number, and that planner dies. By the old number every order would be
-      // refused, and the group would stand still.
-      const engines = prepared();
-      let isHolderAway = false;
+    it("watches the next hold while still watching the previous one", async () => {
+      // The holder restarts while its hold is watched, and is unreachable for a
+      // moment. In the new epoch it is told to hold a step of the same number,
+      // and that planner dies. With the old fence every order would be refused,
+      // and the group would stop.
+      const engines = preparedEngines();
+      let isHolderUnreachable = false;
       const stop = new AbortController();
       const ranks = Array.from({ length: RANKS }, (_, index) =>
         rankOf(engines, index, () => false),
@@ -274,31 +277,35 @@
       const port: RankPort = {
         ...holder,
         observe: () =>
-          isHolderAway ? Promise.reject(failure(1607)) : holder.observe(),
+          isHolderUnreachable
+            ? Promise.reject(failure(1607))
+            : holder.observe(),
       };
       const guard = HoldGuard.create({
         port,
         emit: ignoreEvents,
         group: () =>
-          isHolderAway ? Promise.reject(failure(1607)) : Promise.resolve(ranks),
+          isHolderUnreachable
+            ? Promise.reject(failure(1607))
+            : Promise.resolve(ranks),
         signal: stop.signal,
-        maps: relayed(),
+        maps: relayedMaps(),
       });
       const watch = (fence: OrderFence): void => {
         const { startedAtMs } = engines.stateOf(HOLDER);
         guard.watch({ step: 3, fence, startedAtMs });
       };
       watch(FENCE);
-      isHolderAway = true;
+      isHolderUnreachable = true;
       await sleep(250);
-      engines.restart(HOLDER);
-      engines.form();
+      engines.restartAndBreakGroup(HOLDER);
+      engines.reformGroup();
       const next = { epoch: engines.epoch, fencing: 10 };
       prepareAll(engines, VERSION + 2, next);
       watch(next);
       engines.send(HOLDER, { kind: "hold", step: 3 }, next);
       engines.deliver();
-      isHolderAway = false;
+      isHolderUnreachable = false;
       const until = performance.now() + 1000;
       while (performance.now() < until && engines.history.passes < 6) {
         engines.pass();
@@ -309,9 +316,10 @@
       assert.is(engines.history.mixedPasses, 0);
     });
 
-    it("lets a hold of its own rank's earlier life be", async () => {
-      // The step of the new life has the same number but isn't this hold's.
-      const engines = prepared();
+    it("ignores a hold of its own rank's earlier incarnation", async () => {
+      // The new incarnation's step has the same number but doesn't belong to
+      // this hold.
+      const engines = preparedEngines();
       const stop = new AbortController();
       const ranks = Array.from({ length: RANKS }, (_, index) =>
         rankOf(engines, index, () => false),
@@ -321,11 +329,11 @@
         emit: ignoreEvents,
         group: () => Promise.resolve(ranks),
         signal: stop.signal,
-        maps: relayed(),
+        maps: relayedMaps(),
       });
       const { startedAtMs } = engines.stateOf(HOLDER);
       guard.watch({ step: 3, fence: FENCE, startedAtMs });
-      engines.startAgain(HOLDER);
+      engines.restartEngine(HOLDER);
       engines.send(
         HOLDER,
         { kind: "prepare", version: VERSION, sets: [] },
--- a/tests/rankmaps/map-planner.test.ts
+++ b/tests/rankmaps/map-planner.test.ts
@@ -9,7 +9,7 @@
 
 const EQUAL = new Float64Array(SHAPE.ranks).fill(1);
 
-/** The engines' first map: experts in turn. */
+/** The engines' first map: experts assigned round-robin. */
 function firstMap(): MapSets {
   return Array.from({ length: SHAPE.layers }, () =>
     Array.from({ length: SHAPE.ranks }, (_, rank) =>
@@ -18,7 +18,7 @@
   );
 }
 
-/** A few experts draw most of the demand. */
+/** A few experts attract most of the demand. */
 function skewedDemand(seed: number): Float64Array {
   const random = createRandom(seed);
   const size = SHAPE.layers * SHAPE.experts;
@@ -35,10 +35,10 @@
 }
 
 describe("map planner", () => {
-  const limits = { copiesEachRank: 1, copiesEachSet: 4 };
+  const limits = { maxCopiesPerRank: 1, maxCopiesPerSet: 4 };
   const planner = MapPlanner.create(SHAPE, limits);
 
-  it("keeps every expert on a rank, within the ranks' places", () => {
+  it("keeps every expert on a rank, within the ranks' slots", () => {
     let map = firstMap();
     for (let seed = 1; seed <= 30; seed += 1) {
       map = planner.plan(map, skewedDemand(seed), EQUAL)?.sets ?? map;
@@ -53,7 +53,7 @@
     }
   });
 
-  it("brings no rank more new experts than it may copy", () => {
+  it("gives no rank more new experts than it may copy", () => {
     let map = firstMap();
     for (let seed = 1; seed <= 30; seed += 1) {
       const next = planner.plan(map, skewedDemand(seed), EQUAL)?.sets;
@@ -61,14 +61,14 @@
       const copies = copiesOf(map, next);
       for (let rank = 0; rank < SHAPE.ranks; rank += 1) {
         const all = copies.reduce((sum, ranks) => sum + ranks[rank], 0);
-        assert.ok(all <= limits.copiesEachRank, `rank ${rank}: ${all}`);
+        assert.ok(all <= limits.maxCopiesPerRank, `rank ${rank}: ${all}`);
       }
       map = next;
     }
   });
 
-  it("evens out a lasting demand within a few maps", () => {
-    // Demand turns at once, as when a wave of mandates begins. Passes take as
+  it("balances a lasting demand within a few maps", () => {
+    // Demand shifts suddenly, as when a wave of mandates begins. Passes take as
     // long as the most loaded rank, so callers wait for its part.
     const demand = skewedDemand(5);
     let map = firstMap();
@@ -84,7 +84,7 @@
     assert.ok(last < 1.25, String(last));
   });
 
-  it("takes work off a slow rank", () => {
+  it("moves work away from a slow rank", () => {
     // One engine takes four times as long as the others, and every step of the
     // group waits for it: all streams are late until its experts move away.
     const speeds = Float64Array.from(EQUAL);
@@ -100,7 +100,7 @@
     assert.ok(last < first / 2, `${first} to ${last}`);
   });
 
-  it("leaves an even load alone", () => {
+  it("doesn't change a balanced load", () => {
     const size = SHAPE.layers * SHAPE.experts;
     const even = new Float64Array(size).fill(1000);
     assert.is(planner.plan(firstMap(), even, EQUAL), undefined);
@@ -108,7 +108,7 @@
 });
 
 describe("expert demand", () => {
-  it("follows a turn of demand within two seconds", () => {
+  it("follows a shift in demand within two seconds", () => {
     const demand = ExpertDemand.create(2);
     const many = [10_000, 1000];
     const few = [1000, 10_000];
@@ -117,22 +117,22 @@
     assert.ok(demand.tokens[1] > 3 * demand.tokens[0]);
   });
 
-  it("waits for enough choices where there is little traffic", () => {
-    // One prompt a second: faded as under full load, the last prompt alone
-    // would decide the map, and experts would move with every request.
+  it("waits for enough selections with little traffic", () => {
+    // One prompt a second. With the decay used under full load, the last prompt
+    // alone would decide the map, and experts would move with every request.
     const demand = ExpertDemand.create(2);
     demand.add([[150, 50]], 1000);
-    assert.not.ok(demand.isTelling);
+    assert.not.ok(demand.hasEnoughCounts);
     for (let second = 0; second < 60; second += 1) {
       const isEven = second % 2 === 0;
       demand.add([isEven ? [200, 0] : [0, 200]], 1000);
     }
-    assert.ok(demand.isTelling);
+    assert.ok(demand.hasEnoughCounts);
     const [one, other] = demand.tokens;
     assert.ok(Math.abs(one - other) < 0.25 * (one + other), `${one} ${other}`);
   });
 
-  it("adds up what all ranks counted", () => {
+  it("sums the counts of all ranks", () => {
     const demand = ExpertDemand.create(2);
     demand.add(
       [
--- a/tests/rankmaps/pace-reporter.test.ts
+++ b/tests/rankmaps/pace-reporter.test.ts
@@ -7,29 +7,29 @@
 
 const ADDRESS = "10.0.0.1:1";
 
-class Notes {
+class ReporterFixture {
   nowMs = 0;
-  isAway = false;
+  isStoreUnreachable = false;
   readonly written: number[] = [];
-  readonly lives: LifeStart[] = [];
+  readonly startTimes: LifeStart[] = [];
 
   readonly reporter = PaceReporter.create({
     now: () => this.nowMs,
     emit: ignoreEvents,
     notes: {
       put: (key, value) => {
-        if (this.isAway) return Promise.reject(failure(1901));
+        if (this.isStoreUnreachable) return Promise.reject(failure(1901));
         const note = decodePaceNote({ key, value });
         assert.is(note?.address, ADDRESS);
         this.written.push(note?.slowness ?? 0);
-        this.lives.push(note?.startedAtMs);
+        this.startTimes.push(note?.startedAtMs);
         return Promise.resolve();
       },
     },
   });
 
-  async look(slowness: number, startedAtMs?: number): Promise<void> {
-    this.reporter.look([{ address: ADDRESS, slowness, startedAtMs }]);
+  async report(slowness: number, startedAtMs?: number): Promise<void> {
+    this.reporter.report([{ address: ADDRESS, slowness, startedAtMs }]);
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
@@ -37,84 +37,86 @@
 }
 
 describe("pace reporter", () => {
-  it("writes nothing while ranks keep their pace", async () => {
-    const notes = new Notes();
-    await notes.look(1);
-    await notes.look(1.4);
+  it("writes nothing while ranks run at normal speed", async () => {
+    const notes = new ReporterFixture();
+    await notes.report(1);
+    await notes.report(1.4);
     assert.equal(notes.written, []);
   });
 
   it("writes once that a rank is slow, and once that it has recovered", async () => {
-    const notes = new Notes();
-    for (const slowness of [1, 5, 5, 1.3, 1.2, 1]) await notes.look(slowness);
+    const notes = new ReporterFixture();
+    for (const slowness of [1, 5, 5, 1.3, 1.2, 1]) await notes.report(slowness);
     assert.equal(notes.written, [5, 1.2]);
   });
 
-  it("writes again before the note lapses", async () => {
-    const notes = new Notes();
-    await notes.look(5);
+  it("writes again before the note expires", async () => {
+    const notes = new ReporterFixture();
+    await notes.report(5);
     notes.nowMs = 4500;
-    await notes.look(4);
+    await notes.report(4);
     assert.equal(notes.written, [5, 4]);
   });
 
-  it("writes after an outage what couldn't be written during it", async () => {
-    // The store is away when the rank turns slow. Entries go on sending it
-    // work, and all streams of the group stay late, until they are told.
-    const notes = new Notes();
-    notes.isAway = true;
-    await notes.look(5);
-    notes.isAway = false;
-    await notes.look(5);
+  it("writes after an outage the notes that failed during it", async () => {
+    // The store is unreachable when the rank becomes slow. Until the entries
+    // are told, they keep sending it work, and all streams of the group stay
+    // late.
+    const notes = new ReporterFixture();
+    notes.isStoreUnreachable = true;
+    await notes.report(5);
+    notes.isStoreUnreachable = false;
+    await notes.report(5);
     assert.equal(notes.written, [5]);
   });
 
-  describe("when a rank starts again", () => {
-    it("writes at once what its new life shows", async () => {
-      const notes = new Notes();
-      await notes.look(5, 1000);
-      await notes.look(4, 2000);
+  describe("when a rank restarts", () => {
+    it("writes the new incarnation's pace at once", async () => {
+      const notes = new ReporterFixture();
+      await notes.report(5, 1000);
+      await notes.report(4, 2000);
       assert.equal(notes.written, [5, 4]);
-      assert.equal(notes.lives, [1000, 2000]);
+      assert.equal(notes.startTimes, [1000, 2000]);
     });
 
-    it("takes back the note of its earlier life", async () => {
-      // Not slow enough for a note, nor fast enough for a recovery. Left as it
-      // was, entries would pass the rank by until the earlier life's note lapses.
-      const notes = new Notes();
-      await notes.look(5, 1000);
-      await notes.look(1.4, 2000);
-      await notes.look(1.4, 2000);
+    it("replaces the note of its earlier incarnation", async () => {
+      // The rank is not slow enough for a note, nor fast enough to count as
+      // recovered. If the note were left as it was, entries would skip the rank
+      // until the earlier incarnation's note expires.
+      const notes = new ReporterFixture();
+      await notes.report(5, 1000);
+      await notes.report(1.4, 2000);
+      await notes.report(1.4, 2000);
       assert.equal(notes.written, [5, 1.4]);
     });
 
-    it("writes nothing of an earlier life that is seen late", async () => {
-      const notes = new Notes();
-      await notes.look(5, 2000);
-      await notes.look(1, 1000);
+    it("ignores a late report of an earlier incarnation", async () => {
+      const notes = new ReporterFixture();
+      await notes.report(5, 2000);
+      await notes.report(1, 1000);
       notes.nowMs = 4500;
-      await notes.look(9, 1000);
+      await notes.report(9, 1000);
       assert.equal(notes.written, [5]);
     });
 
-    it("writes again once the known life's note has lapsed", async () => {
-      // The rank's clock was set back before it started again: what seems to be
-      // the earlier life is the present one, and slow.
-      const notes = new Notes();
-      await notes.look(5, 2000);
+    it("writes again once the known incarnation's note has expired", async () => {
+      // The clock was set back before the rank restarted: the incarnation that
+      // seems to be the earlier one is the current one, and slow.
+      const notes = new ReporterFixture();
+      await notes.report(5, 2000);
       notes.nowMs = 9000;
-      await notes.look(4, 1000);
-      assert.equal(notes.lives, [2000, 1000]);
+      await notes.report(4, 1000);
+      assert.equal(notes.startTimes, [2000, 1000]);
     });
   });
 
-  it("writes again what a store that came back may have lost", async () => {
-    // The copy shows the rank slow that has recovered, and the entries, which
-    // read all of it anew, would send it nothing for as long as a note counts.
-    const notes = new Notes();
-    for (const slowness of [5, 1]) await notes.look(slowness);
-    notes.reporter.onStoreReturned();
-    for (const slowness of [1, 1]) await notes.look(slowness);
+  it("writes again the notes that a restored store may have lost", async () => {
+    // The copy lists a recovered rank as slow. The entries read all notes again
+    // and would send it nothing until the note expires.
+    const notes = new ReporterFixture();
+    for (const slowness of [5, 1]) await notes.report(slowness);
+    notes.reporter.onStoreRestored();
+    for (const slowness of [1, 1]) await notes.report(slowness);
     assert.equal(notes.written, [5, 1, 1]);
   });
 });
--- a/tests/rankmaps/rank-state.ts
+++ b/tests/rankmaps/rank-state.ts
@@ -1,6 +1,6 @@
 import type { RankState } from "../../src/rankmaps/types.js";
 
-/** A rank of an open group that runs on its first map, no order under way. */
+/** A rank of an open group on its first map, without a switch in progress. */
 export const RANK_STATE: RankState = {
   group: "g",
   epoch: 1,
--- a/tests/rankmaps/runner-port.test.ts
+++ b/tests/rankmaps/runner-port.test.ts
@@ -10,7 +10,7 @@
 const STARTED_AT_MS = 1_790_000_000_123;
 const FENCE = { epoch: 1, fencing: 3 };
 const RELEASE = { kind: "release", step: 9 } as const;
-/** All that a runner may answer, in one body. */
+/** Every field that a runner may return, in one body. */
 const FIELDS = { epoch: 1, counts: [5], mapping: { experts: [[0]] } };
 const REPORT = { step: 4, mapping: 2 };
 
@@ -19,8 +19,8 @@
   readonly body: string;
 }
 
-/** What a port makes of one answer, read from a plain server. */
-async function ask<T>(
+/** Calls a port against a plain HTTP server that returns the reply. */
+async function callWithReply<T>(
   { status, body }: Reply,
   call: (port: RankPort) => Promise<T>,
 ): Promise<T> {
@@ -42,16 +42,16 @@
   return { status, body: JSON.stringify(fields) };
 }
 
-async function startOfAnswers(
+async function startTimesOfAnswers(
   born: unknown,
 ): Promise<readonly (number | undefined)[]> {
   const reply = replyOf({ ...FIELDS, born });
   const report = replyOf({ ...REPORT, born });
   const said = [
-    await ask(report, (port) => port.observe()),
-    await ask(reply, (port) => port.counts()),
-    await ask(reply, (port) => port.experts()),
-    await ask(reply, (port) => port.order(RELEASE, FENCE)),
+    await callWithReply(report, (port) => port.observe()),
+    await callWithReply(reply, (port) => port.counts()),
+    await callWithReply(reply, (port) => port.experts()),
+    await callWithReply(reply, (port) => port.order(RELEASE, FENCE)),
   ];
   return said.map(({ startedAtMs }) => startedAtMs);
 }
@@ -66,18 +66,18 @@
 }
 
 describe("runner of a rank", () => {
-  it("tells in every answer which life it is in", async () => {
+  it("reports its incarnation in every response", async () => {
     const all = Array<number>(4).fill(STARTED_AT_MS);
-    assert.equal(await startOfAnswers(STARTED_AT_MS), all);
+    assert.equal(await startTimesOfAnswers(STARTED_AT_MS), all);
   });
 
-  it("may leave its start out", async () => {
+  it("may omit its start", async () => {
     const none = Array<undefined>(4).fill(undefined);
-    assert.equal(await startOfAnswers(undefined), none);
+    assert.equal(await startTimesOfAnswers(undefined), none);
   });
 
-  it("may answer an order without a body", async () => {
-    const done = await ask({ status: 200, body: "" }, (port) =>
+  it("may respond to an order without a body", async () => {
+    const done = await callWithReply({ status: 200, body: "" }, (port) =>
       port.order(RELEASE, FENCE),
     );
     assert.equal(done, {
@@ -87,27 +87,29 @@
     });
   });
 
-  it("tells with a refused order which life refused it", async () => {
+  it("reports which incarnation refused an order", async () => {
     const born = STARTED_AT_MS;
-    const refused = await ask(replyOf({ born }, 409), (port) =>
+    const refused = await callWithReply(replyOf({ born }, 409), (port) =>
       port.order(RELEASE, FENCE),
     );
     assert.equal(refused, { kind: "refused", status: 409, startedAtMs: born });
-    const fenced = await ask(replyOf({ born }, 412), (port) =>
+    const fenced = await callWithReply(replyOf({ born }, 412), (port) =>
       port.order(RELEASE, FENCE),
     );
     assert.equal(fenced, { kind: "fenced", startedAtMs: born });
   });
 
   for (const born of [1.5, "1790000000123", null, true, {}]) {
-    it(`gives no usable answer with a start of ${JSON.stringify(born)}`, async () => {
+    it(`gives no usable response with a start of ${JSON.stringify(born)}`, async () => {
       const reply = replyOf({ ...FIELDS, born });
       const report = replyOf({ ...REPORT, born });
       const errors = [
-        await errorOf(ask(report, (port) => port.observe())),
-        await errorOf(ask(reply, (port) => port.counts())),
-        await errorOf(ask(reply, (port) => port.experts())),
-        await errorOf(ask(reply, (port) => port.order(RELEASE, FENCE))),
+        await errorOf(callWithReply(report, (port) => port.observe())),
+        await errorOf(callWithReply(reply, (port) => port.counts())),
+        await errorOf(callWithReply(reply, (port) => port.experts())),
+        await errorOf(
+          callWithReply(reply, (port) => port.order(RELEASE, FENCE)),
+        ),
       ];
       assert.equal(errors, [1903, 1903, 1903, 1903]);
     });
--- a/tests/rankmaps/held-engines.ts
+++ b/tests/rankmaps/simulated-engines.ts
@@ -1,9 +1,9 @@
 /**
- * Engines of one group that hold a step by order, as the platform states them:
- * an order may get no answer and be carried out later, after newer ones, and a
- * report may be out of date. Some engines refuse old fencing numbers, others
- * ignore them. An engine may start again under its id; it then knows nothing of
- * before, and reports of its earlier life may still arrive.
+ * Simulates the engines of one group as a platform may implement them: an order
+ * may get no response and be carried out later, after newer ones, and a report
+ * may be outdated. Some engines reject old fencing numbers, others ignore them.
+ * An engine may restart under its id; it then has no memory of earlier orders,
+ * and reports of its earlier incarnation may still arrive.
  */
 import type { LifeStart } from "../../src/membership/life.js";
 import type { Random } from "../../src/internal.js";
@@ -24,7 +24,7 @@
 interface Engine {
   readonly startedAtMs: number;
   map: number;
-  /** Content of the map in use, and of the prepared one. */
+  /** Contents of the active map and of the prepared one. */
   sets: MapSets;
   preparedSets: MapSets;
   prepared: number | undefined;
@@ -34,109 +34,110 @@
   fencing: number;
 }
 
-interface Flying {
+interface InFlightOrder {
   readonly rank: number;
   readonly order: RankOrder;
   readonly fence: OrderFence;
-  /** Deliveries that it is late by. */
+  /** Number of deliveries until the order is carried out. */
   delay: number;
-  /** Its answer was never seen. */
+  /** The response never reaches the sender. */
   readonly isLate: boolean;
 }
 
-/** An order that a rank has taken, and whose answer came back. */
+/** An order that a rank has accepted and whose response arrived. */
 export interface Acceptance {
   readonly rank: number;
   readonly fence: OrderFence;
   readonly startedAtMs: LifeStart;
 }
 
-const LATE_SHARE = 0.3;
+const DELAYED_SHARE = 0.3;
 const LOST_SHARE = 0.1;
-const LONGEST_DELAY = 40;
-/** Looks at a rank that show what an earlier life of it said. */
-const PAST_SHARE = 0.1;
-/** Lives of which what they said last may still arrive. */
-const PAST_LIVES = 3;
-/** Looks at a rank that are out of date. */
+const MAX_DELAY = 40;
+/** Share of reads that return a report of an earlier incarnation. */
+const EARLIER_INCARNATION_SHARE = 0.1;
+/** Number of earlier incarnations whose last report may still arrive. */
+const RETAINED_INCARNATIONS = 3;
+/** Share of reads that return an outdated report. */
 const STALE_SHARE = 0.05;
-/** How many changes of a rank a look may be behind. */
-const KEPT_REPORTS = 4;
+/** Number of changes that an outdated report may be behind. */
+const RETAINED_REPORTS = 4;
 
-export class HeldEngines {
+export class SimulatedEngines {
   epoch = 1;
   private step = 0;
   private engines: Engine[];
-  private flying: Flying[] = [];
-  private isCalm = false;
+  private inFlight: InFlightOrder[] = [];
+  private areFaultsDisabled = false;
   private isOpen = true;
-  /** A rank of the group has started again since it was formed. */
+  /** A rank has restarted since the group was formed. */
   private isStalled = false;
   private startedAtMs = 1000;
-  private readonly past: (readonly RankState[])[];
-  /** Reports of the present life and epoch, the newest last. */
-  private recent: (readonly RankState[])[];
+  private readonly earlierReports: (readonly RankState[])[];
+  /** Reports of the current incarnation and epoch, the newest last. */
+  private recentReports: (readonly RankState[])[];
   private accepted: Acceptance[] = [];
-  private readonly counted = { passes: 0, switches: 0, mixedPasses: 0 };
+  private readonly counters = { passes: 0, switches: 0, mixedPasses: 0 };
 
   private constructor(
     private readonly size: number,
     private readonly random: Random,
     private readonly isFencingChecked: boolean,
   ) {
-    this.engines = this.fresh();
-    this.past = this.engines.map(() => []);
-    this.recent = this.engines.map(() => []);
+    this.engines = this.createEngines();
+    this.earlierReports = this.engines.map(() => []);
+    this.recentReports = this.engines.map(() => []);
   }
 
   static create(
     size: number,
     random: Random,
     isFencingChecked = false,
-  ): HeldEngines {
-    return new HeldEngines(size, random, isFencingChecked);
+  ): SimulatedEngines {
+    return new SimulatedEngines(size, random, isFencingChecked);
   }
 
   get history(): History {
-    return { ...this.counted };
+    return { ...this.counters };
   }
 
-  /** Asked one after the other: passes may begin in between. */
+  /** The ranks are read one after the other; passes may begin in between. */
   states(): readonly RankState[] {
     const states: RankState[] = [];
     for (let rank = 0; rank < this.size; rank += 1) {
       states.push(this.reportOf(rank));
-      if (!this.isCalm && this.random() < 0.05) this.pass();
+      if (!this.areFaultsDisabled && this.random() < 0.05) this.pass();
     }
     return states;
   }
 
-  /** What is shown to a look, at times what is over. */
+  /** The report that a read returns, sometimes an outdated one. */
   private reportOf(rank: number): RankState {
-    if (this.isCalm) return this.stateOf(rank);
-    const recent = this.recent[rank];
+    if (this.areFaultsDisabled) return this.stateOf(rank);
+    const recent = this.recentReports[rank];
     if (recent.length > 0 && this.random() < STALE_SHARE)
-      return this.anyOf(recent);
-    const past = this.past[rank];
-    if (past.length > 0 && this.random() < PAST_SHARE) return this.anyOf(past);
+      return this.pickReport(recent);
+    const past = this.earlierReports[rank];
+    if (past.length > 0 && this.random() < EARLIER_INCARNATION_SHARE)
+      return this.pickReport(past);
     return this.stateOf(rank);
   }
 
-  private anyOf(reports: readonly RankState[]): RankState {
+  private pickReport(reports: readonly RankState[]): RankState {
     return reports[Math.floor(this.random() * reports.length)];
   }
 
-  /** The rank is about to change. */
-  private keepReport(rank: number): void {
-    const reports = [...this.recent[rank], this.stateOf(rank)];
-    this.recent[rank] = reports.slice(-KEPT_REPORTS);
+  /** Call before the rank's state changes. */
+  private retainReport(rank: number): void {
+    const reports = [...this.recentReports[rank], this.stateOf(rank)];
+    this.recentReports[rank] = reports.slice(-RETAINED_REPORTS);
   }
 
-  private forgetReports(): void {
-    this.recent = this.engines.map(() => []);
+  private clearReports(): void {
+    this.recentReports = this.engines.map(() => []);
   }
 
-  /** What the engine is in now. */
+  /** The engine's current state. */
   stateOf(rank: number): RankState {
     const engine = this.engines[rank];
     return {
@@ -155,25 +156,25 @@
     };
   }
 
-  /** From here on every order is carried out at once. */
-  calm(): void {
-    this.isCalm = true;
+  /** Carries out every order at once from now on, without faults. */
+  disableFaults(): void {
+    this.areFaultsDisabled = true;
   }
 
   send(rank: number, order: RankOrder, fence: OrderFence): void {
     const draw = this.random();
-    if (!this.isCalm && draw < LOST_SHARE) return;
-    const isLate = !this.isCalm && draw < LOST_SHARE + LATE_SHARE;
-    const delay = isLate ? 1 + Math.floor(this.random() * LONGEST_DELAY) : 0;
-    this.flying.push({ rank, order, fence, delay, isLate });
+    if (!this.areFaultsDisabled && draw < LOST_SHARE) return;
+    const isLate = !this.areFaultsDisabled && draw < LOST_SHARE + DELAYED_SHARE;
+    const delay = isLate ? 1 + Math.floor(this.random() * MAX_DELAY) : 0;
+    this.inFlight.push({ rank, order, fence, delay, isLate });
   }
 
-  /** Carries out what is due, and gives the answers that come back. */
+  /** Carries out the due orders and returns the responses that arrive. */
   deliver(): readonly Acceptance[] {
     this.accepted = [];
-    const due = this.flying.filter(({ delay }) => delay <= 0);
-    this.flying = this.flying.filter(({ delay }) => delay > 0);
-    for (const flying of this.flying) flying.delay -= 1;
+    const due = this.inFlight.filter(({ delay }) => delay <= 0);
+    this.inFlight = this.inFlight.filter(({ delay }) => delay > 0);
+    for (const order of this.inFlight) order.delay -= 1;
     for (const { rank, order, fence, isLate } of due) {
       const before = this.accepted.length;
       this.carryOut(rank, order, fence);
@@ -189,7 +190,7 @@
     if (this.engines.some(({ held }) => held === next)) return;
     let switched = 0;
     for (const [rank, engine] of this.engines.entries()) {
-      this.keepReport(rank);
+      this.retainReport(rank);
       if (engine.armed?.step !== next) continue;
       engine.map = engine.armed.version;
       engine.sets = engine.preparedSets;
@@ -201,43 +202,46 @@
     const maps = new Set(
       this.engines.map(({ map, sets }) => JSON.stringify([map, sets])),
     );
-    this.counted.passes += 1;
-    if (switched > 0) this.counted.switches += 1;
-    if (maps.size > 1) this.counted.mixedPasses += 1;
+    this.counters.passes += 1;
+    if (switched > 0) this.counters.switches += 1;
+    if (maps.size > 1) this.counters.mixedPasses += 1;
   }
 
-  /** All ranks are gone and back: the group is formed anew. */
-  crash(): void {
+  /** Restarts all ranks and forms the group again. */
+  crashAll(): void {
     this.epoch += 1;
     this.isOpen = true;
     this.isStalled = false;
-    this.engines = this.fresh();
-    this.forgetReports();
+    this.engines = this.createEngines();
+    this.clearReports();
   }
 
-  /** A rank starts again: the group breaks, and makes no passes. */
-  restart(rank: number): void {
+  /** Restarts a rank; the group breaks and makes no passes. */
+  restartAndBreakGroup(rank: number): void {
     this.isOpen = false;
-    this.startAgain(rank);
+    this.restartEngine(rank);
   }
 
   /**
-   * A rank starts again, and shows it before the platform has noticed: the
-   * group still shows that it is open, in its old epoch. It makes no steps
-   * without the life that it was formed with, until it is formed anew.
+   * Restarts a rank before the platform has noticed: the group still reports
+   * that it is open, in its old epoch. It makes no steps without the
+   * incarnation that it was formed with, until it is formed again.
    */
-  restartUnnoticed(rank: number): void {
+  restartUndetected(rank: number): void {
     this.isStalled = true;
-    this.startAgain(rank);
+    this.restartEngine(rank);
   }
 
-  /** The broken group is formed anew; who went on keeps its numbers. */
-  form(): void {
+  /**
+   * Forms the broken group again; ranks that kept running keep their version
+   * and fencing numbers.
+   */
+  reformGroup(): void {
     if (this.isOpen && !this.isStalled) return;
     this.isOpen = true;
     this.isStalled = false;
     this.epoch += 1;
-    this.forgetReports();
+    this.clearReports();
     for (const engine of this.engines) {
       engine.map = 0;
       engine.sets = [];
@@ -247,19 +251,19 @@
     }
   }
 
-  /** A rank starts again; the platform hasn't noticed. */
-  startAgain(rank: number): void {
-    const said = [this.stateOf(rank), ...this.past[rank]];
-    this.past[rank] = said.slice(0, PAST_LIVES);
-    this.recent[rank] = [];
-    this.engines[rank] = this.start();
+  /** Restarts a rank's engine; the platform hasn't noticed. */
+  restartEngine(rank: number): void {
+    const reports = [this.stateOf(rank), ...this.earlierReports[rank]];
+    this.earlierReports[rank] = reports.slice(0, RETAINED_INCARNATIONS);
+    this.recentReports[rank] = [];
+    this.engines[rank] = this.createEngine();
   }
 
-  private fresh(): Engine[] {
-    return Array.from({ length: this.size }, () => this.start());
+  private createEngines(): Engine[] {
+    return Array.from({ length: this.size }, () => this.createEngine());
   }
 
-  private start(): Engine {
+  private createEngine(): Engine {
     this.startedAtMs += 1000;
     return {
       startedAtMs: this.startedAtMs,
@@ -278,9 +282,9 @@
     const engine = this.engines[rank];
     if (fence.epoch !== this.epoch) return;
     if (this.isFencingChecked && fence.fencing < engine.fencing) return;
-    this.keepReport(rank);
+    this.retainReport(rank);
     if (!this.apply(engine, order)) return;
-    // An order that doesn't fit the engine's state leaves no trace.
+    // A rejected order doesn't change the fencing number.
     engine.fencing = fence.fencing;
     this.accepted.push({ rank, fence, startedAtMs: engine.startedAtMs });
   }
