--- a/fuzz/membership/lives.ts
+++ b/fuzz/membership/lives.ts
@@ -1,29 +1,33 @@
 /**
- * Fuzz target `lives`: registrations of runners that start again, in any order.
+ * Fuzz target `lives`: registrations of restarting runners in any order.
  *
- * Oracle: a reading of all that happened to an id. With addresses that runners
- * share, or without starts, only rules that hold at any moment are checked.
+ * The oracle derives the expected state of an id from all of its events. If
+ * runners share addresses, or if start times are unknown, only invariants that
+ * hold after every step are checked.
  */
 import fc from "fast-check";
 import { LAPSE_GRACE_MS } from "../../src/membership/directory.js";
 import type { BackendServer } from "../../src/membership/types.js";
 import { runJudged } from "../run-judged.js";
 import type { FuzzTarget } from "../target.js";
-import { readId } from "./oracle.js";
-import { sharedAddressFaults } from "./shared-addresses.js";
-import { untoldFaults } from "./untold-starts.js";
-import { DirectoryWorld } from "./world.js";
+import { expectedStateOf } from "./oracle.js";
+import { sharedAddressViolations } from "./shared-addresses.js";
+import { unknownStartViolations } from "./unknown-starts.js";
+import { DirectorySimulation } from "./directory-simulation.js";
 
 const IDS = ["a", "b", "c"] as const;
 const FIRST_START = 1_790_000_000_000;
-const LATEST_LIFE = 3;
-const HIGHEST_HEARTBEAT = 6;
-const ADDRESSES = 2;
-const LONGEST_HISTORY = 40;
-/** All waits of a history together stay below the time a past life is kept. */
-const LONGEST_WAIT_MS = 1200;
+const MAX_INCARNATION = 3;
+const MAX_HEARTBEAT = 6;
+const ADDRESSES_PER_HOST = 2;
+const MAX_STEPS = 40;
+/** All waits of a history together stay below `INACTIVE_RETENTION_MS`. */
+const MAX_WAIT_MS = 1200;
 
-/** `shared`: addresses of all ids are the same; `untold`: no starts. */
+/**
+ * `told`: start times are known and each id has its own addresses; `shared`:
+ * all ids use the same addresses; `untold`: start times are unknown.
+ */
 type Mode = "told" | "shared" | "untold";
 
 interface Registration {
@@ -48,9 +52,9 @@
 
 const registration: fc.Arbitrary<Registration> = fc.record({
   id: fc.constantFrom(...IDS),
-  life: fc.nat({ max: LATEST_LIFE }),
-  heartbeat: fc.integer({ min: 1, max: HIGHEST_HEARTBEAT }),
-  place: fc.nat({ max: ADDRESSES - 1 }),
+  life: fc.nat({ max: MAX_INCARNATION }),
+  heartbeat: fc.integer({ min: 1, max: MAX_HEARTBEAT }),
+  place: fc.nat({ max: ADDRESSES_PER_HOST - 1 }),
   isLeaving: fc.constantFrom(false, false, false, true),
 });
 
@@ -90,7 +94,7 @@
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant("wait" as const),
-      durationMs: fc.integer({ min: 1, max: LONGEST_WAIT_MS }),
+      durationMs: fc.integer({ min: 1, max: MAX_WAIT_MS }),
     }),
   },
 );
@@ -99,7 +103,7 @@
   mode: fc.constantFrom("told" as const, "shared" as const, "untold" as const),
   steps: fc.array(command, {
     minLength: 1,
-    maxLength: LONGEST_HISTORY,
+    maxLength: MAX_STEPS,
     size: "max",
   }),
 });
@@ -115,82 +119,96 @@
     service: "model",
     address: `${host}:${place}`,
     dataCentre: "here",
-    // So that it shows which registration counts.
+    // Shows which registration is the active one.
     slots: heartbeat,
     isLeaving,
     heartbeat,
   };
 }
 
-function play(world: DirectoryWorld, mode: Mode, step: Command): void {
+function applyCommand(
+  simulation: DirectorySimulation,
+  mode: Mode,
+  step: Command,
+): void {
   switch (step.kind) {
     case "register":
-      world.register(serverOf(mode, step.registration));
+      simulation.register(serverOf(mode, step.registration));
       return;
     case "remove":
-      world.remove(step.id);
+      simulation.remove(step.id);
       return;
     case "replace":
-      world.replace(
+      simulation.replace(
         step.registrations.map((item) => serverOf(mode, item)),
         IDS,
       );
       return;
     case "outage":
-      world.setAway(step.isAway);
+      simulation.setStoreDown(step.isAway);
       return;
     case "wait":
-      world.pass(step.durationMs);
+      simulation.advance(step.durationMs);
   }
 }
 
-/** Plays a history; returns what the oracle found after its first bad step. */
+/** Runs a history; returns the violations after its first failing step. */
 export function judgeLives({ mode, steps }: LivesHistory): readonly string[] {
-  const world = DirectoryWorld.create(LAPSE_GRACE_MS);
+  const simulation = DirectorySimulation.create(LAPSE_GRACE_MS);
   for (const step of steps) {
-    play(world, mode, step);
-    const faults = faultsOf(world, mode);
-    if (faults.length > 0) return faults;
+    applyCommand(simulation, mode, step);
+    const violations = violationsOf(simulation, mode);
+    if (violations.length > 0) return violations;
   }
   return [];
 }
 
-function faultsOf(world: DirectoryWorld, mode: Mode): readonly string[] {
+function violationsOf(
+  simulation: DirectorySimulation,
+  mode: Mode,
+): readonly string[] {
   switch (mode) {
     case "told":
-      return IDS.flatMap((id) => exactFaults(world, id));
+      return IDS.flatMap((id) => exactViolations(simulation, id));
     case "shared":
-      return sharedAddressFaults(world);
+      return sharedAddressViolations(simulation);
     case "untold":
-      return IDS.flatMap((id) => untoldFaults(world, id));
+      return IDS.flatMap((id) => unknownStartViolations(simulation, id));
   }
 }
 
-function exactFaults(world: DirectoryWorld, id: string): readonly string[] {
-  const { server, lives } = readId(id, world.facts, world);
-  const found = world.serving.get(id);
-  const faults: string[] = [];
-  if (textOf(found) !== textOf(server)) {
-    faults.push(`${id} is ${textOf(found)} in place of ${textOf(server)}`);
+function exactViolations(
+  simulation: DirectorySimulation,
+  id: string,
+): readonly string[] {
+  const { server, starts } = expectedStateOf(id, simulation.events, simulation);
+  const actual = simulation.active.get(id);
+  const violations: string[] = [];
+  if (describeServer(actual) !== describeServer(server)) {
+    violations.push(
+      `${id} is ${describeServer(actual)}, expected ${describeServer(server)}`,
+    );
   }
-  const ended = world.ended
+  const replaced = simulation.replacements
     .filter(({ earlier }) => earlier.id === id)
     .map(({ earlier, later }) =>
       [earlier, later].map(({ startedAtMs }) => startedAtMs).join(" by "),
     );
-  const wanted = lives
+  const expected = starts
     .slice(1)
-    .map((start, index) => `${lives[index]} by ${start}`);
-  if (ended.join() !== wanted.join()) {
-    faults.push(`${id}: ended ${ended.join()} in place of ${wanted.join()}`);
+    .map((start, index) => `${starts[index]} by ${start}`);
+  if (replaced.join() !== expected.join()) {
+    violations.push(
+      `${id}: replaced ${replaced.join()}, expected ${expected.join()}`,
+    );
   }
-  return faults;
+  return violations;
 }
 
-function textOf(server: BackendServer | undefined): string {
+function describeServer(server: BackendServer | undefined): string {
   if (server === undefined) return "absent";
   const { startedAtMs, address, slots } = server;
-  return `${startedAtMs ?? "untold"} at ${address} with ${slots}`;
+  return `${startedAtMs ?? "unknown start"} at ${address} with ${slots} slots`;
 }
 
 export const livesTarget: FuzzTarget = {
--- a/fuzz/membership/oracle.ts
+++ b/fuzz/membership/oracle.ts
@@ -1,23 +1,23 @@
 /**
- * Who may get work, by a reading of all that ever happened to an id, with no
- * state in between. Holds where starts are told and each id has addresses of
- * its own; nothing is forgotten within a history.
+ * Expected state of an id, derived from all of its events without intermediate
+ * state. Applies if start times are known and each id has its own addresses.
+ * Nothing expires within a history.
  */
-import { REPLACED_GRACE_MS } from "../../src/membership/directory.js";
+import { REPLACEMENT_GRACE_MS } from "../../src/membership/directory.js";
 import type { BackendServer } from "../../src/membership/types.js";
-import type { Fact } from "./world.js";
+import type { RegisterEvent } from "./directory-simulation.js";
 
-interface Reading {
-  /** The registration that counts; undefined when the id gets no work. */
+interface ExpectedState {
+  /** The active registration; undefined if the id gets no requests. */
   readonly server: BackendServer | undefined;
-  /** Starts of the lives that were the newest one in turn. */
-  readonly lives: readonly number[];
+  /** Start times of the incarnations that became the newest one, in order. */
+  readonly starts: readonly number[];
 }
 
-/** The world's time, and when the register could be read in it. */
-export interface Clock {
+/** Simulated time, and when the register could be read. */
+export interface SimulatedClock {
   readonly nowMs: number;
-  /** The moment, or where the store is away then, its next return. */
+  /** The given time, or the end of the outage if the store is down then. */
   readonly readableFrom: (atMs: number) => number;
 }
 
@@ -25,56 +25,62 @@
   return startedAtMs ?? Number.NEGATIVE_INFINITY;
 }
 
-export function readId(
+export function expectedStateOf(
   id: string,
-  facts: readonly Fact[],
-  { nowMs, readableFrom }: Clock,
-): Reading {
-  const own = facts.filter((fact) => idOf(fact) === id);
-  const lives = newestInTurn(own);
-  const newest = lives.at(-1);
-  const firstAt = own.findIndex((fact) => isOfLife(fact, newest));
+  events: readonly RegisterEvent[],
+  { nowMs, readableFrom }: SimulatedClock,
+): ExpectedState {
+  const own = events.filter((event) => idOf(event) === id);
+  const starts = successiveStarts(own);
+  const newest = starts.at(-1);
+  const firstAt = own.findIndex((event) => isOfIncarnation(event, newest));
   const current = newestRecord(own, newest);
   if (current === undefined || current.server.isLeaving) {
-    return { server: undefined, lives };
+    return { server: undefined, starts };
   }
   const replacedAtMs =
-    lives.length > 1 ? own[firstAt].atMs : Number.NEGATIVE_INFINITY;
-  const isGone = own.slice(current.index + 1).some((fact) => {
-    const endMs = endsAtMs(fact, replacedAtMs);
-    const isKept = endMs > fact.atMs;
+    starts.length > 1 ? own[firstAt].atMs : Number.NEGATIVE_INFINITY;
+  const isGone = own.slice(current.index + 1).some((event) => {
+    const endMs = endsAtMs(event, replacedAtMs);
+    const isKept = endMs > event.atMs;
     return (isKept ? readableFrom(endMs) : endMs) <= nowMs;
   });
-  return { server: isGone ? undefined : current.server, lives };
+  return { server: isGone ? undefined : current.server, starts };
 }
 
-function idOf(fact: Fact): string {
-  return fact.kind === "removed" ? fact.id : fact.server.id;
+function idOf(event: RegisterEvent): string {
+  return event.kind === "removed" ? event.id : event.server.id;
 }
 
-function isOfLife(fact: Fact, start: number | undefined): boolean {
-  return fact.kind === "registered" && startOf(fact.server) === start;
+function isOfIncarnation(
+  event: RegisterEvent,
+  start: number | undefined,
+): boolean {
+  return event.kind === "registered" && startOf(event.server) === start;
 }
 
-function newestInTurn(own: readonly Fact[]): readonly number[] {
-  const lives: number[] = [];
-  for (const fact of own) {
-    if (fact.kind === "removed") continue;
-    const start = startOf(fact.server);
-    if (lives.every((life) => life < start)) lives.push(start);
+function successiveStarts(own: readonly RegisterEvent[]): readonly number[] {
+  const starts: number[] = [];
+  for (const event of own) {
+    if (event.kind === "removed") continue;
+    const start = startOf(event.server);
+    if (starts.every((earlier) => earlier < start)) starts.push(start);
   }
-  return lives;
+  return starts;
 }
 
-/** What a life said last by its own count; nothing follows its leaving. */
+/**
+ * The record of the incarnation with the highest heartbeat; records after its
+ * notice to leave don't count.
+ */
 function newestRecord(
-  own: readonly Fact[],
+  own: readonly RegisterEvent[],
   start: number | undefined,
 ): { readonly server: BackendServer; readonly index: number } | undefined {
   let found: { server: BackendServer; index: number } | undefined;
-  for (const [index, fact] of own.entries()) {
-    if (fact.kind === "removed" || startOf(fact.server) !== start) continue;
-    const { server } = fact;
+  for (const [index, event] of own.entries()) {
+    if (event.kind === "removed" || startOf(event.server) !== start) continue;
+    const { server } = event;
     if (found?.server.isLeaving === true) return found;
     const heartbeat = found?.server.heartbeat ?? 0;
     if (server.heartbeat >= heartbeat) found = { server, index };
@@ -83,8 +89,8 @@
 }
 
 /** When the removal takes effect unless a registration follows. */
-function endsAtMs(fact: Fact, replacedAtMs: number): number {
-  if (fact.kind === "registered") return Number.POSITIVE_INFINITY;
-  const graceEndsMs = replacedAtMs + REPLACED_GRACE_MS;
-  return Math.max(fact.atMs, fact.outageGraceEndsMs, graceEndsMs);
+function endsAtMs(event: RegisterEvent, replacedAtMs: number): number {
+  if (event.kind === "registered") return Number.POSITIVE_INFINITY;
+  const graceEndsMs = replacedAtMs + REPLACEMENT_GRACE_MS;
+  return Math.max(event.atMs, event.outageGraceEndsMs, graceEndsMs);
 }
--- a/fuzz/membership/shared-addresses.ts
+++ b/fuzz/membership/shared-addresses.ts
@@ -1,92 +1,120 @@
-/** Rules that hold at any moment where runners share addresses. */
+/** Invariants for runners that share addresses. */
 import { orderOfLives } from "../../src/membership/life.js";
 import type { BackendServer } from "../../src/membership/types.js";
-import type { DirectoryWorld, Ended, Fact } from "./world.js";
+import type {
+  DirectorySimulation,
+  Replacement,
+  RegisterEvent,
+} from "./directory-simulation.js";
 
-export function sharedAddressFaults(world: DirectoryWorld): readonly string[] {
-  const serving = [...world.serving.values()];
+export function sharedAddressViolations(
+  simulation: DirectorySimulation,
+): readonly string[] {
+  const active = [...simulation.active.values()];
   return [
-    ...sharedAddresses(serving),
-    ...serving.flatMap((server) => oldLives(server, world.facts)),
-    ...world.ended.flatMap(wrongEnds),
-    ...newestFactFaults(world),
-    ...displaced(world),
+    ...duplicateAddresses(active),
+    ...active.flatMap((server) =>
+      outdatedIncarnations(server, simulation.events),
+    ),
+    ...simulation.replacements.flatMap(invalidReplacements),
+    ...newestEventViolations(simulation),
+    ...displacedHolders(simulation),
   ];
 }
 
-function sharedAddresses(serving: readonly BackendServer[]): string[] {
-  const addresses = new Set(serving.map(({ address }) => address));
-  return addresses.size < serving.length ? ["two runners at an address"] : [];
+function duplicateAddresses(active: readonly BackendServer[]): string[] {
+  const addresses = new Set(active.map(({ address }) => address));
+  return addresses.size < active.length
+    ? ["two active servers share an address"]
+    : [];
 }
 
-function oldLives(server: BackendServer, facts: readonly Fact[]): string[] {
-  const newest = newestStart(server.id, facts);
+function outdatedIncarnations(
+  server: BackendServer,
+  events: readonly RegisterEvent[],
+): string[] {
+  const newest = newestStart(server.id, events);
   return server.startedAtMs === newest
     ? []
-    : [`${server.id} is ${server.startedAtMs} in place of ${newest}`];
+    : [`${server.id} is ${server.startedAtMs}, expected ${newest}`];
 }
 
-function wrongEnds({ earlier, later }: Ended): string[] {
+function invalidReplacements({ earlier, later }: Replacement): string[] {
   const order = orderOfLives(earlier.startedAtMs, later.startedAtMs);
   const isRelated =
     earlier.id === later.id || earlier.address === later.address;
   return order === "later" && isRelated
     ? []
-    : [`${earlier.id} ended by ${later.id}, which is ${order}`];
+    : [`${earlier.id} replaced by ${later.id}, which is ${order}`];
 }
 
-/** A late record takes its address from nobody who started after it. */
-function displaced({ facts, before, serving }: DirectoryWorld): string[] {
-  const fact = facts.at(-1);
-  if (fact?.kind !== "registered") return [];
-  const { id, address, startedAtMs } = fact.server;
+/** A late record doesn't take the address of a server that started later. */
+function displacedHolders({
+  events,
+  activeBefore: before,
+  active,
+}: DirectorySimulation): string[] {
+  const event = events.at(-1);
+  if (event?.kind !== "registered") return [];
+  const { id, address, startedAtMs } = event.server;
   return before
     .filter((holder) => holder.id !== id && holder.address === address)
     .filter(
       (holder) => orderOfLives(startedAtMs, holder.startedAtMs) === "later",
     )
-    .filter((holder) => !serving.has(holder.id))
+    .filter((holder) => !active.has(holder.id))
     .map((holder) => `${id} has taken the address of ${holder.id}`);
 }
 
-/** What has just registered gets work unless something speaks against it. */
-function newestFactFaults(world: DirectoryWorld): string[] {
-  const { facts, serving, hasJustRegistered } = world;
-  const fact = facts.at(-1);
-  if (fact?.kind !== "registered" || !hasJustRegistered) return [];
-  const { server } = fact;
-  if (!isCurrent(server, facts)) return [];
+/**
+ * A server that has just registered is active, with the exceptions checked
+ * here.
+ */
+function newestEventViolations(simulation: DirectorySimulation): string[] {
+  const { events, active, hasJustRegistered } = simulation;
+  const event = events.at(-1);
+  if (event?.kind !== "registered" || !hasJustRegistered) return [];
+  const { server } = event;
+  if (!isCurrent(server, events)) return [];
   if (server.isLeaving) {
-    return serving.has(server.id) ? [`${server.id} serves though it left`] : [];
+    return active.has(server.id)
+      ? [`${server.id} is active though it left`]
+      : [];
   }
-  const holder = [...serving.values()].find(
+  const holder = [...active.values()].find(
     ({ address }) => address === server.address,
   );
   if (holder?.id === server.id) return [];
   const isOlder =
     holder !== undefined &&
     orderOfLives(server.startedAtMs, holder.startedAtMs) === "later";
-  return isOlder ? [] : [`${server.id} has registered and doesn't serve`];
+  return isOlder ? [] : [`${server.id} has registered and isn't active`];
 }
 
-/** Of the newest life, not late by its count, and not after its leaving. */
-function isCurrent(server: BackendServer, facts: readonly Fact[]): boolean {
-  if (server.startedAtMs !== newestStart(server.id, facts)) return false;
-  const before = facts.slice(0, -1).flatMap((fact) => {
-    if (fact.kind === "removed") return [];
-    const { id, startedAtMs } = fact.server;
+/**
+ * Whether the record is of the newest incarnation, not older than its earlier
+ * records and not after its notice to leave.
+ */
+function isCurrent(
+  server: BackendServer,
+  events: readonly RegisterEvent[],
+): boolean {
+  if (server.startedAtMs !== newestStart(server.id, events)) return false;
+  const before = events.slice(0, -1).flatMap((event) => {
+    if (event.kind === "removed") return [];
+    const { id, startedAtMs } = event.server;
     const isSame = id === server.id && startedAtMs === server.startedAtMs;
-    return isSame ? [fact.server] : [];
+    return isSame ? [event.server] : [];
   });
   return before.every(
     ({ heartbeat, isLeaving }) => !isLeaving && heartbeat <= server.heartbeat,
   );
 }
 
-function newestStart(id: string, facts: readonly Fact[]): number {
-  const starts = facts.map((fact) => {
-    if (fact.kind === "removed" || fact.server.id !== id) return 0;
-    return fact.server.startedAtMs ?? 0;
+function newestStart(id: string, events: readonly RegisterEvent[]): number {
+  const starts = events.map((event) => {
+    if (event.kind === "removed" || event.server.id !== id) return 0;
+    return event.server.startedAtMs ?? 0;
   });
   return Math.max(...starts);
 }
--- a/fuzz/orders-world.ts
+++ b/fuzz/orders-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Two holders, the agent, its engine and the log in virtual time. The engine
- * either checks fencing numbers or obeys whatever reaches it.
+ * Simulates two lease holders, an agent, its engine and the log in virtual
+ * time. The engine either checks fencing tokens or accepts every order.
  */
 import {
   acceptedOrder,
@@ -26,12 +26,12 @@
 export const TICK_MS = 10;
 const EFFECT_TICKS = 30;
 const CALL_TIMEOUT_TICKS = 5;
-/** A slow reader of the log is this far behind. */
+/** Lag of a slow reader of the log, ms. */
 const READER_LAG_MS = 400;
 const LEASE_MS = 600;
 const LOG_READ_TICKS = 5;
 
-export interface OrdersWorldSettings {
+export interface OrdersSimulationSettings {
   readonly seed: number;
   readonly checksFencing: boolean;
   readonly engineChecks: boolean;
@@ -47,38 +47,43 @@
   pausedUntil: number;
 }
 
-interface Timed {
+interface Confirmation {
   readonly at: number;
   readonly fencing: number;
 }
 
 type LogRecord = LeaseRecord | OrderRecord;
 
-export class OrdersWorld {
+export class OrdersSimulation {
   now = 0;
   logDownUntil = 0;
   slowUntil = 0;
-  /** Holder that reads the log late while things are slow. */
-  slowReader = 0;
-  /** The next order reaches the engine as late as it can, unanswered. */
-  trap: "none" | "lost" | "restartAgent" = "none";
+  /**
+   * Index of the holder that lags behind in the log while `slowUntil` applies.
+   */
+  laggingReader = 0;
+  /**
+   * Fault of the next order: it reaches the engine as late as possible and its
+   * response is lost; with `restartAgent`, the agent restarts as well.
+   */
+  callFault: "none" | "lost" | "restartAgent" = "none";
   readonly violations: string[] = [];
   confirmations = 0;
   private readonly random: Random;
   private readonly records: LogRecord[] = [];
   private readonly landedAt: number[] = [];
   private readonly holders: readonly Holder[];
-  private readonly due = new Map<number, (() => void)[]>();
+  private readonly tasksByTime = new Map<number, (() => void)[]>();
   private readonly values: Partial<Record<OrderKind, string>> = {};
   private engineFencing = -1;
-  private confirmed: Timed = { at: 0, fencing: -1 };
-  private desk: OrderDesk;
-  private deskNumber = 0;
+  private confirmed: Confirmation = { at: 0, fencing: -1 };
+  private executor: OrderDesk;
+  private executorGeneration = 0;
   private agentView: Lease = noLease;
   private agentPosition = 0;
   private newestOrders: readonly Order[] = [];
 
-  private constructor(private readonly settings: OrdersWorldSettings) {
+  private constructor(private readonly settings: OrdersSimulationSettings) {
     this.random = createRandom(settings.seed);
     const { countsFromSending } = settings;
     this.holders = ["first", "second"].map((name) => ({
@@ -88,30 +93,33 @@
       position: 0,
       pausedUntil: 0,
     }));
-    this.desk = this.createDesk();
+    this.executor = this.createExecutor();
   }
 
-  static create(settings: OrdersWorldSettings): OrdersWorld {
-    return new OrdersWorld(settings);
+  static create(settings: OrdersSimulationSettings): OrdersSimulation {
+    return new OrdersSimulation(settings);
   }
 
   run(ticks: number): void {
     for (let index = 0; index < ticks; index += 1) this.tick();
   }
 
-  /** Whoever holds the lease orders something; its send may come very late. */
+  /**
+   * Appends an order as the current lease holder; it is sent to the agent after
+   * the delay.
+   */
   order(value: string, delayTicks: number): void {
-    const holder = this.holders.find((item) => this.acts(item));
+    const holder = this.holders.find((item) => this.mayAct(item));
     if (holder === undefined) return;
     const { name, view } = holder;
     const record: OrderRecord = {
       kind: "order",
       holder: name,
-      after: view.number,
+      after: view.acquiredOffset,
       order: { kind: "load-model", value, runner: "r" },
     };
     this.append(record, (offset) => {
-      // The holder may be paused for long between the log and this.
+      // The holder may be paused between the append and sending the order.
       this.after(delayTicks, () => {
         this.give(offset);
       });
@@ -124,51 +132,51 @@
   }
 
   restartAgent(): void {
-    this.desk = this.createDesk();
+    this.executor = this.createExecutor();
     this.agentView = noLease;
     this.agentPosition = 0;
   }
 
   endFaults(): void {
-    this.trap = "none";
+    this.callFault = "none";
     this.logDownUntil = 0;
     this.slowUntil = 0;
     for (const holder of this.holders) holder.pausedUntil = 0;
   }
 
-  private acts(holder: Holder): boolean {
+  private mayAct(holder: Holder): boolean {
     return holder.pausedUntil <= this.now && holder.lease.holds(this.now);
   }
 
-  private createDesk(): OrderDesk {
+  private createExecutor(): OrderDesk {
     const { checksFencing, safeguards } = this.settings;
     const effectMs = EFFECT_TICKS * TICK_MS;
-    this.deskNumber += 1;
+    this.executorGeneration += 1;
     const engine = { checksFencing, effectMs };
     return OrderDesk.create(engine, ignoreEvents, this.now, safeguards);
   }
 
   private tick(): void {
     this.now += TICK_MS;
-    const tasks = this.due.get(this.now) ?? [];
-    this.due.delete(this.now);
+    const tasks = this.tasksByTime.get(this.now) ?? [];
+    this.tasksByTime.delete(this.now);
     for (const task of tasks) task();
     for (const holder of this.holders) this.follow(holder);
-    if (this.holders.every((item) => this.acts(item))) {
-      this.violations.push(`both hold the lease at ${this.now}`);
+    if (this.holders.every((item) => this.mayAct(item))) {
+      this.violations.push(`two holders act at ${this.now}`);
     }
     if ((this.now / TICK_MS) % LOG_READ_TICKS === 0) this.agentReadsLog();
-    this.carryOut(this.desk.tick(this.now));
+    this.carryOut(this.executor.tick(this.now));
   }
 
   private after(ticks: number, task: () => void): void {
     const at = this.now + Math.max(1, ticks) * TICK_MS;
-    this.due.set(at, [...(this.due.get(at) ?? []), task]);
+    this.tasksByTime.set(at, [...(this.tasksByTime.get(at) ?? []), task]);
   }
 
   private append(record: LogRecord, landed?: (offset: number) => void): void {
-    const faulty = this.logDownUntil > this.now || this.slowUntil > this.now;
-    if (faulty && this.random() < 0.5) return;
+    const isFaulty = this.logDownUntil > this.now || this.slowUntil > this.now;
+    if (isFaulty && this.random() < 0.5) return;
     const delay = this.slowUntil > this.now ? randomBelow(this.random, 40) : 1;
     this.after(delay, () => {
       this.records.push(record);
@@ -180,8 +188,8 @@
   private follow(holder: Holder): void {
     if (holder.pausedUntil > this.now) return;
     const slow = this.slowUntil > this.now;
-    const lags = slow && holder === this.holders.at(this.slowReader);
-    const seen = this.now - (lags ? READER_LAG_MS : 0);
+    const isLagging = slow && holder === this.holders.at(this.laggingReader);
+    const seen = this.now - (isLagging ? READER_LAG_MS : 0);
     if (this.logDownUntil <= this.now) {
       for (; holder.position < this.records.length; holder.position += 1) {
         if (this.landedAt[holder.position] > seen) break;
@@ -207,23 +215,27 @@
         if (order !== undefined) this.newestOrders = [order];
       }
     }
-    this.desk.learn(this.newestOrders);
+    this.executor.learn(this.newestOrders);
   }
 
-  /** Gives the order of a record to the agent, or to the engine if it checks. */
+  /**
+   * Sends the order of a record to the agent, or sometimes directly to an
+   * engine that checks fencing tokens.
+   */
   private give(offset: number): void {
     const record = this.records.at(offset);
     if (record?.kind !== "order") return;
     if (!this.isAccepted(offset, record)) return;
     const order: Order = { ...record.order, fencing: offset };
-    // Where engines check, a holder may also order without the agent.
+    // If engines check fencing tokens, a holder may send orders without the
+    // agent.
     const direct = this.settings.checksFencing && this.random() < 0.5;
     if (direct) {
       this.after(randomBelow(this.random, EFFECT_TICKS), () => {
-        this.take(order);
+        this.applyOrder(order);
       });
     }
-    this.carryOut(this.desk.take(order, this.now));
+    this.carryOut(this.executor.take(order, this.now));
   }
 
   private isAccepted(offset: number, record: OrderRecord): boolean {
@@ -248,50 +260,53 @@
         }
       } else if (effect.reply.error.number === failure(1702).number) {
         const { order } = effect.reply;
-        // Holders ask again, also those that have lost their lease since.
+        // Holders retry, even if they have lost their lease.
         this.after(4, () => {
-          this.carryOut(this.desk.take(order, this.now));
+          this.carryOut(this.executor.take(order, this.now));
         });
       }
     }
   }
 
   private callEngine(call: OrderCall): void {
-    const desk = this.deskNumber;
-    const trapped = call.kind === "give" && this.trap !== "none";
-    if (trapped) this.springTrap();
+    const generation = this.executorGeneration;
+    const hasFault = call.kind === "give" && this.callFault !== "none";
+    if (hasFault) this.applyCallFault();
     const slow = this.slowUntil > this.now;
     const late = slow ? randomBelow(this.random, EFFECT_TICKS) : 1;
-    const delay = trapped ? EFFECT_TICKS - 1 : late;
-    const lost = trapped || (slow && this.random() < 0.3);
+    const delay = hasFault ? EFFECT_TICKS - 1 : late;
+    const lost = hasFault || (slow && this.random() < 0.3);
     let settled = false;
     const settle = (give: () => readonly OrderEffect[]): void => {
-      if (settled || desk !== this.deskNumber) return;
+      if (settled || generation !== this.executorGeneration) return;
       settled = true;
       this.carryOut(give());
     };
     this.after(delay, () => {
-      const accepted = call.kind === "read" || this.take(call.order);
+      const accepted = call.kind === "read" || this.applyOrder(call.order);
       const state = { engine: "e", values: { ...this.values } };
       if (lost) return;
-      settle(() => this.desk.answered({ accepted, state }, this.now));
+      settle(() => this.executor.answered({ accepted, state }, this.now));
     });
     this.after(CALL_TIMEOUT_TICKS, () => {
-      settle(() => this.desk.failed(this.now));
+      settle(() => this.executor.failed(this.now));
     });
   }
 
-  private springTrap(): void {
-    const { trap } = this;
-    this.trap = "none";
-    if (trap === "restartAgent")
+  private applyCallFault(): void {
+    const { callFault: fault } = this;
+    this.callFault = "none";
+    if (fault === "restartAgent")
       this.after(1, () => {
         this.restartAgent();
       });
   }
 
-  /** The order takes effect in the engine, unless the engine refuses it. */
-  private take({ fencing, kind, value }: Order): boolean {
+  /**
+   * Applies the order unless the engine refuses it; returns whether it was
+   * applied.
+   */
+  private applyOrder({ fencing, kind, value }: Order): boolean {
     const { checksFencing, engineChecks } = this.settings;
     if (checksFencing && engineChecks && fencing < this.engineFencing) {
       return false;
@@ -300,7 +315,9 @@
     this.values[kind] = value;
     if (fencing < this.confirmed.fencing) {
       const { fencing: newer, at } = this.confirmed;
-      this.violations.push(`${fencing} took effect, ${newer} confirmed ${at}`);
+      this.violations.push(
+        `order ${fencing} took effect after order ${newer} was confirmed at ${at}`,
+      );
     }
     return true;
   }
--- a/fuzz/orders.ts
+++ b/fuzz/orders.ts
@@ -1,13 +1,13 @@
 /**
- * Fuzz target `orders`: holders of the lease order one engine about.
+ * Fuzz target `orders`: lease holders send orders to one engine.
  *
- * Oracle: the engine's record of effects. No order takes effect after a newer
- * one was confirmed, no two holders act at once, and once faults stop an order
- * is confirmed.
+ * The oracle is the list of effects in the engine: no order takes effect after
+ * a newer one was confirmed, no two holders act at the same time, and an order
+ * is confirmed once there are no more faults.
  */
 import fc from "fast-check";
 import { allOrderSafeguards } from "../src/internal.js";
-import { OrdersWorld, TICK_MS } from "./orders-world.js";
+import { OrdersSimulation, TICK_MS } from "./orders-simulation.js";
 import { runJudged } from "./run-judged.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
@@ -75,37 +75,37 @@
   ),
 });
 
-function play(world: OrdersWorld, next: Command): void {
-  const until = (count: number): number => world.now + count * TICK_MS;
+function applyCommand(simulation: OrdersSimulation, next: Command): void {
+  const until = (count: number): number => simulation.now + count * TICK_MS;
   switch (next.kind) {
     case "order":
-      world.order(next.value, next.late);
+      simulation.order(next.value, next.late);
       return;
     case "pause":
-      world.pause(next.holder, until(next.ticks));
+      simulation.pause(next.holder, until(next.ticks));
       return;
     case "log":
-      world.logDownUntil = until(next.ticks);
+      simulation.logDownUntil = until(next.ticks);
       return;
     case "slow":
-      world.slowUntil = until(next.ticks);
-      world.slowReader = next.reader;
+      simulation.slowUntil = until(next.ticks);
+      simulation.laggingReader = next.reader;
       return;
     case "trap":
-      world.trap = next.act;
+      simulation.callFault = next.act;
       return;
     case "restartAgent":
-      world.restartAgent();
+      simulation.restartAgent();
       return;
   }
 }
 
-/** Plays a history; returns what the oracle found. */
+/** Runs a history; returns the violations. */
 export function judgeOrders(
   { seed, checksFencing, steps }: OrdersHistory,
   mutation?: string,
 ): string[] {
-  const world = OrdersWorld.create({
+  const simulation = OrdersSimulation.create({
     seed,
     checksFencing,
     engineChecks: mutation !== "engineChecks",
@@ -115,18 +115,21 @@
       ...(mutation === undefined ? {} : { [mutation]: false }),
     },
   });
-  world.run(START_TICKS);
+  simulation.run(START_TICKS);
   for (const { command: next, wait } of steps) {
-    play(world, next);
-    world.run(wait);
+    applyCommand(simulation, next);
+    simulation.run(wait);
   }
-  world.endFaults();
-  world.run(RECOVERY_TICKS);
-  const before = world.confirmations;
-  world.order("last", 1);
-  world.run(RECOVERY_TICKS);
-  const stuck = world.confirmations === before;
-  return [...world.violations, ...(stuck ? ["no order is confirmed"] : [])];
+  simulation.endFaults();
+  simulation.run(RECOVERY_TICKS);
+  const before = simulation.confirmations;
+  simulation.order("last", 1);
+  simulation.run(RECOVERY_TICKS);
+  const isStuck = simulation.confirmations === before;
+  return [
+    ...simulation.violations,
+    ...(isStuck ? ["no order is confirmed after the faults ended"] : []),
+  ];
 }
 
 function run(settings: FuzzSettings): Promise<FuzzResult> {
--- a/fuzz/suspects/suspects.ts
+++ b/fuzz/suspects/suspects.ts
@@ -1,9 +1,10 @@
 /**
- * Fuzz target `suspects`: crashes, ends and sharing in any order over several
- * entries, some of which start again.
+ * Fuzz target `suspects`: crashes, completions and sharing in any order at
+ * several entries, some of which restart.
  *
- * Oracle: for each entry the facts that it can have heard of, and a plain search
- * for the longest chain of runs that began one after the other's loss.
+ * The oracle keeps the events that each entry can know of and searches them for
+ * the longest chain of runs that were each sent after the loss of the one
+ * before.
  */
 import fc from "fast-check";
 import {
@@ -18,11 +19,11 @@
 const DIGESTS = ["a", "b"] as const;
 const RUNNERS = 4;
 const START_MS = 1_790_000_000_000;
-const LONGEST_RUN_MS = 3000;
-/** All waits of a history stay below the time that a suspect is kept. */
-const LONGEST_WAIT_MS = 1500;
-const LONGEST_HISTORY = 30;
-/** A runner is down for this time after a crash, ms. */
+const MAX_RUN_MS = 3000;
+/** All waits of a history together stay below `SUSPECT_RETENTION_MS`. */
+const MAX_WAIT_MS = 1500;
+const MAX_STEPS = 30;
+/** Downtime of a runner after a crash, ms. */
 const DOWN_MS = 1500;
 
 type Digest = (typeof DIGESTS)[number];
@@ -33,7 +34,7 @@
       readonly digest: Digest;
       readonly runner: number;
       readonly runMs: number;
-      /** Entries that each had such a request there. */
+      /** Entries that each had a run of the request there. */
       readonly entries: readonly number[];
     }
   | { readonly kind: "end"; readonly entry: number; readonly digest: Digest }
@@ -59,7 +60,7 @@
       kind: fc.constant("crash" as const),
       digest,
       runner: fc.nat({ max: RUNNERS - 1 }),
-      runMs: fc.integer({ min: 1, max: LONGEST_RUN_MS }),
+      runMs: fc.integer({ min: 1, max: MAX_RUN_MS }),
       entries: fc.uniqueArray(entry, { minLength: 1, maxLength: ENTRIES }),
     }),
   },
@@ -83,38 +84,41 @@
     weight: 4,
     arbitrary: fc.record({
       kind: fc.constant("wait" as const),
-      durationMs: fc.integer({ min: 1, max: LONGEST_WAIT_MS }),
+      durationMs: fc.integer({ min: 1, max: MAX_WAIT_MS }),
     }),
   },
 );
 
 const history: fc.Arbitrary<History> = fc.record({
-  steps: fc.array(command, { minLength: 1, maxLength: LONGEST_HISTORY }),
+  steps: fc.array(command, { minLength: 1, maxLength: MAX_STEPS }),
 });
 
-/** A crash or an end, as an entry can have heard of it. */
-type Fact =
+/** A crash or a completion that an entry can know of. */
+type CrashEvent =
   | { readonly kind: "run"; readonly digest: Digest; readonly run: CrashedRun }
   | { readonly kind: "end"; readonly digest: Digest; readonly atMs: number };
 
-interface KnownEntry {
+interface SimulatedEntry {
   suspects: SuspectRequests;
-  /** Seen here; and heard of from others. */
-  readonly own: Set<Fact>;
-  readonly heard: Set<Fact>;
-  /** What it has written last, with the facts in it. */
-  written: { readonly record: SuspectRecord; readonly facts: Set<Fact> };
+  /** Events seen by this entry, and events received from others. */
+  readonly own: Set<CrashEvent>;
+  readonly received: Set<CrashEvent>;
+  /** The last published record and the events that it covers. */
+  published: {
+    readonly record: SuspectRecord;
+    readonly events: Set<CrashEvent>;
+  };
 }
 
-class SuspectsWorld {
+class SuspectsSimulation {
   nowMs = START_MS;
   private readonly downUntilMs = new Map<number, number>();
-  readonly entries: readonly KnownEntry[] = Array.from(
+  readonly entries: readonly SimulatedEntry[] = Array.from(
     { length: ENTRIES },
     () => this.start(),
   );
 
-  play(step: Command): void {
+  apply(step: Command): void {
     switch (step.kind) {
       case "crash":
         this.crash(step);
@@ -133,10 +137,18 @@
     }
   }
 
-  private start(): KnownEntry {
+  private start(): SimulatedEntry {
     const suspects = SuspectRequests.create(() => this.nowMs);
-    const written = { record: suspects.record(), facts: new Set<Fact>() };
-    return { suspects, own: new Set(), heard: new Set(), written };
+    const written = {
+      record: suspects.ownRecord(),
+      events: new Set<CrashEvent>(),
+    };
+    return {
+      suspects,
+      own: new Set(),
+      received: new Set(),
+      published: written,
+    };
   }
 
   private crash(step: Extract<Command, { kind: "crash" }>): void {
@@ -148,46 +160,54 @@
       sentAtMs: this.nowMs - runMs,
       lostAtMs: this.nowMs,
     };
-    const fact: Fact = { kind: "run", digest: step.digest, run };
-    for (const at of entries) {
-      const { suspects, own } = this.entries[at];
-      suspects.noteCrash(step.digest, run);
-      own.add(fact);
-      this.write(this.entries[at]);
+    const event: CrashEvent = { kind: "run", digest: step.digest, run };
+    for (const index of entries) {
+      const { suspects, own } = this.entries[index];
+      suspects.addOwnRun(step.digest, run);
+      own.add(event);
+      this.publish(this.entries[index]);
     }
   }
 
-  private end(known: KnownEntry, ended: Digest): void {
-    if (crashesKnown(known, ended) === 0) return;
-    known.suspects.acquit(ended);
-    known.own.add({ kind: "end", digest: ended, atMs: this.nowMs });
-    this.write(known);
+  private end(entryState: SimulatedEntry, ended: Digest): void {
+    if (expectedCrashes(entryState, ended) === 0) return;
+    entryState.suspects.acquit(ended);
+    entryState.own.add({ kind: "end", digest: ended, atMs: this.nowMs });
+    this.publish(entryState);
   }
 
-  private write(known: KnownEntry): void {
-    const record = known.suspects.record();
-    known.written = { record, facts: new Set(known.own) };
+  private publish(entryState: SimulatedEntry): void {
+    const record = entryState.suspects.ownRecord();
+    entryState.published = { record, events: new Set(entryState.own) };
   }
 
-  private share(from: KnownEntry, to: KnownEntry): void {
+  private share(from: SimulatedEntry, to: SimulatedEntry): void {
     if (from === to) return;
-    to.suspects.take(from.written.record, "start");
-    for (const fact of from.written.facts) to.heard.add(fact);
+    to.suspects.merge(from.published.record, "start");
+    for (const event of from.published.events) to.received.add(event);
   }
 
-  /** It knows what it has written, and hears of the others again. */
-  private restart(known: KnownEntry): void {
-    known.suspects = SuspectRequests.create(() => this.nowMs);
-    known.heard.clear();
-    known.suspects.take(known.written.record, "own");
+  /**
+   * After a restart the entry reads its own record and receives those of the
+   * others again.
+   */
+  private restart(entryState: SimulatedEntry): void {
+    entryState.suspects = SuspectRequests.create(() => this.nowMs);
+    entryState.received.clear();
+    entryState.suspects.merge(entryState.published.record, "own");
   }
 }
 
-function crashesKnown({ own, heard }: KnownEntry, wanted: Digest): number {
-  const facts = [...own, ...heard].filter((fact) => fact.digest === wanted);
-  const ends = facts.flatMap((fact) => (fact.kind === "end" ? fact.atMs : []));
+function expectedCrashes(
+  { own, received }: SimulatedEntry,
+  target: Digest,
+): number {
+  const events = [...own, ...received].filter(
+    (event) => event.digest === target,
+  );
+  const ends = events.flatMap((item) => (item.kind === "end" ? item.atMs : []));
   const sinceMs = Math.max(Number.NEGATIVE_INFINITY, ...ends);
-  const runs = facts.flatMap((fact) => (fact.kind === "run" ? fact.run : []));
+  const runs = events.flatMap((item) => (item.kind === "run" ? item.run : []));
   return longestChain(runs, sinceMs);
 }
 
@@ -197,35 +217,37 @@
   return Math.max(0, ...lengths);
 }
 
-/** Plays a history; returns what the oracle found after its first bad step. */
+/** Runs a history; returns the violations after its first failing step. */
 export function judgeSuspects({ steps }: History): readonly string[] {
-  const world = new SuspectsWorld();
+  const simulation = new SuspectsSimulation();
   for (const step of steps) {
-    world.play(step);
-    const faults = world.entries.flatMap((known, at) =>
-      DIGESTS.flatMap((one) => faultsOf(known, at, one)),
+    simulation.apply(step);
+    const violations = simulation.entries.flatMap((entryState, index) =>
+      DIGESTS.flatMap((target) => violationsOf(entryState, index, target)),
     );
-    if (faults.length > 0) return faults;
+    if (violations.length > 0) return violations;
   }
   return [];
 }
 
-function faultsOf(
-  known: KnownEntry,
-  at: number,
-  one: Digest,
+function violationsOf(
+  entryState: SimulatedEntry,
+  index: number,
+  target: Digest,
 ): readonly string[] {
-  const wanted = crashesKnown(known, one);
-  const found = known.suspects.crashesOf(one);
-  const isWithheld = known.suspects.isWithheld(one);
-  const faults: string[] = [];
-  if (found !== wanted) {
-    faults.push(`entry ${at} counts ${found} crashes of ${one}, not ${wanted}`);
+  const expected = expectedCrashes(entryState, target);
+  const actual = entryState.suspects.crashesOf(target);
+  const isWithheld = entryState.suspects.isWithheld(target);
+  const violations: string[] = [];
+  if (actual !== expected) {
+    violations.push(
+      `entry ${index} counts ${actual} crashes of ${target}, expected ${expected}`,
+    );
   }
-  if (isWithheld !== wanted >= CRASHES_UNTIL_WITHHELD) {
-    faults.push(`entry ${at} withholds ${one}: ${isWithheld}`);
+  if (isWithheld !== expected >= CRASHES_UNTIL_WITHHELD) {
+    violations.push(`entry ${index} withholds ${target}: ${isWithheld}`);
   }
-  return faults;
+  return violations;
 }
 
 export const suspectsTarget: FuzzTarget = {
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -1,144 +1,159 @@
 /**
- * The backend servers as the store's register has them. A removed or leaving
- * one gets no new work at once. The exception is an outage of the store:
- * registrations lapse there though the runners live, and taking them for gone
- * would leave no runner at all. So what disappears around an outage is kept
- * until the runners have had time to register again.
+ * The backend servers that are registered in the store. A server that is
+ * removed or leaving gets no new requests, effective at once. An outage of the
+ * store is the exception: registrations expire during it although the runners
+ * are alive, and dropping them would leave no runner at all. Servers that
+ * disappear around an outage are therefore kept until they have had time to
+ * register again.
  *
- * A runner may start again under its id. A later life replaces an earlier one
- * at once, whatever its heartbeat, its address and the standing of the earlier
- * one; a late record of an earlier life changes nothing.
+ * A runner may restart under the same id. A later incarnation replaces an
+ * earlier one at once, regardless of heartbeat, address and the state of the
+ * earlier one; a late record of an earlier incarnation changes nothing.
  *
- * The store may come back from an older copy. What has been seen here holds all
- * the same: who has left gets nothing, though the copy shows it ready, and who
- * isn't in the copy is kept until it has had time to register again.
+ * The store may be rolled back to an older copy. What this process has already
+ * read still holds: a server that left gets no requests even if the copy shows
+ * it as ready, and a server that is missing from the copy is kept until it has
+ * had time to register again.
  */
 import type { Emit, Now } from "../internal.js";
-import { EndedServers } from "./ended-servers.js";
+import { ServerTombstones } from "./server-tombstones.js";
 import { orderOfLives } from "./life.js";
-import { PAST_LIFE_KEPT_MS, PastLives } from "./past-lives.js";
+import {
+  INACTIVE_RETENTION_MS,
+  InactiveIncarnations,
+} from "./inactive-incarnations.js";
 import type { After, BackendServer, RegisterChange } from "./types.js";
 
 /**
- * Time after the store's return in which a living runner has registered again,
- * ms: about two seconds, as the platform states, and the time in which this is
- * read. A VM that has reached the store for three seconds has to know who left.
+ * Time after an outage of the store within which every live runner has
+ * registered again, ms. The platform states about two seconds; the rest covers
+ * reading the register. A VM that has reached the store for three seconds has
+ * to know which servers left.
  */
 export const LAPSE_GRACE_MS = 2900;
 
 /**
- * After a later life has replaced an earlier one, ms: a removal within this
- * time is the earlier one's that came late, because no life is silent for
- * several heartbeats at its very start. Should the later life have left after
- * all, it may be sent work for as long as a leaving one; two readings of the
- * register and this stay within that (`register-interval`).
+ * How long removals are ignored after a later incarnation has replaced an
+ * earlier one, ms. Such a removal belongs to the earlier one and arrived late,
+ * because no incarnation misses several heartbeats right after its start. If
+ * the later one did leave, it may still get requests for as long as any leaving
+ * server; two readings of the register plus this time stay within that
+ * (`register-interval`).
  */
-export const REPLACED_GRACE_MS = 600;
+export const REPLACEMENT_GRACE_MS = 600;
 
-export interface DirectoryInputs {
+export interface DirectoryOptions {
   readonly now: Now;
   readonly after: After;
   readonly emit: Emit;
-  /** A runner may get work, or what is known of it has changed. */
+  /** The runner may get requests, or its known details have changed. */
   readonly onServer: (server: BackendServer) => void;
-  /** A runner gets no new work from here on. */
+  /** The runner gets no new requests from now on. */
   readonly onGone: (id: string) => void;
   /**
-   * The earlier life is over, because the later one has its id or its address:
-   * nothing that still runs there will come to an end.
+   * The earlier incarnation has ended, because the later one has its id or its
+   * address: requests that still run on it will never complete.
    */
   readonly onEnded: (earlier: BackendServer, later: BackendServer) => void;
-  /** Whether the configuration in force names the service. */
+  /** Whether the active configuration names the service. */
   readonly isServiceNamed: (service: string) => boolean;
 }
 
-interface Entry {
+interface ActiveServer {
   readonly server: BackendServer;
-  /** When its life registered last, monotonic ms. */
+  /** Time of the latest registration, monotonic ms. */
   readonly seenAtMs: number;
-  /** When it is dropped unless it registers again; undefined while it is in. */
+  /**
+   * When it is dropped unless it registers again; undefined while the register
+   * contains it.
+   */
   readonly dropAtMs: number | undefined;
-  /** Until then a removal is taken for that of an earlier life, ms. */
-  readonly settledAtMs: number;
+  /**
+   * Until then a removal is attributed to an earlier incarnation, monotonic ms.
+   */
+  readonly graceEndsAtMs: number;
 }
 
 export class BackendServerDirectory {
-  private readonly entries = new Map<string, Entry>();
-  private readonly past: PastLives;
-  private readonly ended: EndedServers;
-  private outage = false;
+  private readonly active = new Map<string, ActiveServer>();
+  private readonly inactive: InactiveIncarnations;
+  private readonly tombstones: ServerTombstones;
+  private isStoreDown = false;
   private restoredAtMs = Number.NEGATIVE_INFINITY;
 
-  private constructor(private readonly inputs: DirectoryInputs) {
-    this.past = PastLives.create(inputs.now, inputs.after);
-    this.ended = EndedServers.create(inputs.now, inputs.after);
+  private constructor(private readonly options: DirectoryOptions) {
+    this.inactive = InactiveIncarnations.create(options.now, options.after);
+    this.tombstones = ServerTombstones.create(options.now, options.after);
   }
 
-  static create(inputs: DirectoryInputs): BackendServerDirectory {
-    return new BackendServerDirectory(inputs);
+  static create(options: DirectoryOptions): BackendServerDirectory {
+    return new BackendServerDirectory(options);
   }
 
   get size(): number {
-    return this.entries.size;
+    return this.active.size;
   }
 
-  /** Lives without work that are still remembered. */
-  get pastCount(): number {
-    return this.past.size;
+  /** Number of remembered incarnations that get no requests. */
+  get inactiveCount(): number {
+    return this.inactive.size;
   }
 
   onStoreLost(): void {
-    this.outage = true;
+    this.isStoreDown = true;
   }
 
   /**
-   * Comes before what was read then is applied. The grace counts from the last
-   * call that failed, monotonic ms: counted from the first that didn't, which
-   * may come a second after the store's return, it would end too late.
+   * Must be called before the changes read after the outage are applied. The
+   * grace period counts from the last failed call, monotonic ms. Counted from
+   * the first successful one, which may come a second after the store is back,
+   * it would end too late.
    */
   onStoreRestored(lastFailedAtMs: number): void {
-    if (!this.outage) return;
-    this.outage = false;
+    if (!this.isStoreDown) return;
+    this.isStoreDown = false;
     this.restoredAtMs = lastFailedAtMs;
-    for (const [id, { dropAtMs }] of this.entries) {
-      if (dropAtMs !== undefined) this.dropLater(id, dropAtMs);
+    for (const [id, { dropAtMs }] of this.active) {
+      if (dropAtMs !== undefined) this.scheduleDrop(id, dropAtMs);
     }
   }
 
   /**
-   * The store came back from an older copy; the whole register follows. The
-   * grace counts from the last call before that was seen, monotonic ms.
+   * The store was rolled back to an older copy; the whole register is read
+   * next. The grace period counts from the last call before the rollback was
+   * seen, monotonic ms.
    */
   onStoreReturned(lastBeforeMs: number): void {
-    this.ended.onStoreReturned();
+    this.tombstones.onStoreRolledBack();
     this.restoredAtMs = Math.max(this.restoredAtMs, lastBeforeMs);
   }
 
   apply(changes: readonly RegisterChange[]): void {
     for (const { id, server, isUnusable } of changes) {
       if (server !== undefined) this.register(server, false);
-      // No lapse: the record is there, so an outage explains nothing.
+      // Not an expiry: the record exists, so an outage can't explain it.
       else if (isUnusable) this.drop(id, "unusable entry");
       else this.remove(id);
     }
   }
 
   /**
-   * The whole register, read anew: what it doesn't hold has been removed. A
-   * register that was just emptied by an outage is treated like the outage.
+   * Replaces the contents by a complete reading of the register; servers that
+   * it doesn't contain have been removed. A register that an outage has just
+   * emptied is handled like the outage.
    */
   replace(servers: readonly BackendServer[]): void {
     const present = new Set(servers.map(({ id }) => id));
-    for (const id of [...this.entries.keys(), ...this.past.ids]) {
+    for (const id of [...this.active.keys(), ...this.inactive.ids]) {
       if (!present.has(id)) this.remove(id);
     }
     for (const server of servers) this.register(server, true);
   }
 
-  private register(seen: BackendServer, isWholeReading: boolean): void {
-    if (this.ended.isBroughtBack(seen, isWholeReading)) return;
-    const known = this.newestOf(seen.id);
-    if (known !== undefined && this.isForeign(known, seen)) {
+  private register(seen: BackendServer, isFullReading: boolean): void {
+    if (this.tombstones.isOutdatedRecord(seen, isFullReading)) return;
+    const known = this.newestKnown(seen.id);
+    if (known !== undefined && this.isOfUnknownService(known, seen)) {
       this.drop(seen.id, "unusable entry");
       return;
     }
@@ -146,160 +161,175 @@
       known === undefined
         ? "same"
         : orderOfLives(known.startedAtMs, seen.startedAtMs);
-    if (order === "earlier" && !this.isSilent(seen.id)) return;
+    if (order === "earlier" && !this.isSilentForLong(seen.id)) return;
     if (known !== undefined && order !== "same") {
-      this.begin(known, seen);
+      this.replaceIncarnation(known, seen);
       return;
     }
     if (this.isStale(seen)) return;
     const startedAtMs = seen.startedAtMs ?? known?.startedAtMs;
-    this.take({ ...seen, startedAtMs }, Number.NEGATIVE_INFINITY);
+    this.accept({ ...seen, startedAtMs }, Number.NEGATIVE_INFINITY);
   }
 
-  private newestOf(id: string): BackendServer | undefined {
-    return this.entries.get(id)?.server ?? this.past.get(id)?.server;
+  private newestKnown(id: string): BackendServer | undefined {
+    return this.active.get(id)?.server ?? this.inactive.get(id)?.server;
   }
 
   /**
-   * A runner whose clock was set back between two starts seems to have started
-   * before the life that is known, and would be passed over for good. Late
-   * writes are over by this time: what registers is what lives.
+   * If a runner's clock was set back between two starts, its new incarnation
+   * appears to be older than the known one and would be ignored forever. Once
+   * the known one has been silent for this long, no late writes are pending any
+   * more, so whatever registers is alive.
    */
-  private isSilent(id: string): boolean {
+  private isSilentForLong(id: string): boolean {
     const seenAtMs =
-      this.entries.get(id)?.seenAtMs ?? this.past.get(id)?.sinceMs;
+      this.active.get(id)?.seenAtMs ?? this.inactive.get(id)?.sinceMs;
     if (seenAtMs === undefined) return false;
-    return this.inputs.now() - seenAtMs >= PAST_LIFE_KEPT_MS;
+    return this.options.now() - seenAtMs >= INACTIVE_RETENTION_MS;
   }
 
   /**
-   * A runner of a service that is named doesn't change to one that nobody has
-   * named: the record isn't its own, and its start and heartbeat must not hold
-   * up the runner's.
+   * A runner of a configured service doesn't move to one that isn't configured.
+   * Such a record was written by somebody else, and its start time and
+   * heartbeat must not block the runner's own records.
    */
-  private isForeign(known: BackendServer, seen: BackendServer): boolean {
-    const { isServiceNamed } = this.inputs;
+  private isOfUnknownService(
+    known: BackendServer,
+    seen: BackendServer,
+  ): boolean {
+    const { isServiceNamed } = this.options;
     return isServiceNamed(known.service) && !isServiceNamed(seen.service);
   }
 
-  /** A record of the life that is known, from before what is known of it. */
+  /**
+   * A record of the known incarnation that is older than the latest one seen.
+   */
   private isStale({ id, heartbeat }: BackendServer): boolean {
-    const past = this.past.get(id);
-    if (past?.standing === "leaving") return true;
-    const known = this.entries.get(id)?.server ?? past?.server;
+    const inactive = this.inactive.get(id);
+    if (inactive?.reason === "leaving") return true;
+    const known = this.active.get(id)?.server ?? inactive?.server;
     return known !== undefined && heartbeat < known.heartbeat;
   }
 
-  private begin(earlier: BackendServer, later: BackendServer): void {
+  private replaceIncarnation(
+    earlier: BackendServer,
+    later: BackendServer,
+  ): void {
     this.drop(earlier.id, "started again");
-    this.inputs.onEnded(earlier, later);
-    this.take(later, this.inputs.now() + REPLACED_GRACE_MS);
+    this.options.onEnded(earlier, later);
+    this.accept(later, this.options.now() + REPLACEMENT_GRACE_MS);
   }
 
-  private take(server: BackendServer, settledAtMs: number): void {
+  private accept(server: BackendServer, graceEndsAtMs: number): void {
     const { id, service, address } = server;
     if (server.isLeaving) {
       this.drop(id, "leaving");
-      this.past.addLeaving(server);
-      this.ended.add(server);
+      this.inactive.addLeaving(server);
+      this.tombstones.add(server);
       return;
     }
-    if (!this.takeAddress(server)) {
+    if (!this.claimAddress(server)) {
       this.drop(id, "address taken");
-      this.past.addDropped(server);
+      this.inactive.addDropped(server);
       return;
     }
-    const known = this.entries.get(id);
-    this.past.delete(id);
-    this.ended.delete(id);
-    this.entries.set(id, {
+    const known = this.active.get(id);
+    this.inactive.delete(id);
+    this.tombstones.delete(id);
+    this.active.set(id, {
       server,
-      seenAtMs: this.inputs.now(),
+      seenAtMs: this.options.now(),
       dropAtMs: undefined,
-      settledAtMs: known?.settledAtMs ?? settledAtMs,
+      graceEndsAtMs: known?.graceEndsAtMs ?? graceEndsAtMs,
     });
-    if (known !== undefined && isSame(known.server, server)) return;
+    if (known !== undefined && hasSameDetails(known.server, server)) return;
     if (known === undefined) {
       const startedAtMs = server.startedAtMs ?? null;
-      this.inputs.emit(211, { runner: id, service, address, startedAtMs });
+      this.options.emit(211, { runner: id, service, address, startedAtMs });
     }
-    this.inputs.onServer(server);
+    this.options.onServer(server);
   }
 
   /**
-   * An address names one runner: the one that started last, or where that isn't
-   * told, the one that registered last. False for a late record of a runner
-   * whose address has gone to another one. A registration of a service that
-   * nobody has named may come from anybody: it takes no address, which would
-   * leave a working runner without requests, and holds none.
+   * An address belongs to one runner: the one that started last or, where start
+   * times are unknown, the one that registered last. Returns false for a late
+   * record of a runner whose address now belongs to another one. Anybody can
+   * register a service that isn't configured, so such a registration neither
+   * takes an address, which would cut off a working runner, nor holds one.
    */
-  private takeAddress(server: BackendServer): boolean {
-    if (!this.inputs.isServiceNamed(server.service)) return true;
-    for (const [id, { server: holder }] of this.entries) {
+  private claimAddress(server: BackendServer): boolean {
+    if (!this.options.isServiceNamed(server.service)) return true;
+    for (const [id, { server: holder }] of this.active) {
       if (id === server.id || holder.address !== server.address) continue;
-      if (!this.mayLose(holder, server)) return false;
+      if (!this.canReassignAddress(holder, server)) return false;
       this.drop(id, "address taken");
       const order = orderOfLives(holder.startedAtMs, server.startedAtMs);
-      if (order === "later") this.inputs.onEnded(holder, server);
+      if (order === "later") this.options.onEnded(holder, server);
     }
     return true;
   }
 
-  /** Whether the address of the one may go to the other. */
-  private mayLose(holder: BackendServer, seen: BackendServer): boolean {
-    if (!this.inputs.isServiceNamed(holder.service)) return true;
+  /** Whether the address may move from its holder to the other server. */
+  private canReassignAddress(
+    holder: BackendServer,
+    seen: BackendServer,
+  ): boolean {
+    if (!this.options.isServiceNamed(holder.service)) return true;
     const order = orderOfLives(holder.startedAtMs, seen.startedAtMs);
-    return order !== "earlier" || this.isSilent(holder.id);
+    return order !== "earlier" || this.isSilentForLong(holder.id);
   }
 
   private remove(id: string): void {
-    this.past.onRemoved(id);
-    const entry = this.entries.get(id);
+    this.inactive.onRemoved(id);
+    const entry = this.active.get(id);
     if (entry === undefined) return;
-    const nowMs = this.inputs.now();
+    const nowMs = this.options.now();
     const keptUntilMs = Math.max(
-      this.outage ? nowMs + LAPSE_GRACE_MS : this.restoredAtMs + LAPSE_GRACE_MS,
-      entry.settledAtMs,
+      this.isStoreDown
+        ? nowMs + LAPSE_GRACE_MS
+        : this.restoredAtMs + LAPSE_GRACE_MS,
+      entry.graceEndsAtMs,
     );
     if (keptUntilMs <= nowMs) {
       this.drop(id, "removed");
       return;
     }
-    // A removal that is read once more must not put it off.
+    // Reading the same removal again must not extend the grace period.
     if (entry.dropAtMs !== undefined) return;
-    this.entries.set(id, { ...entry, dropAtMs: keptUntilMs });
+    this.active.set(id, { ...entry, dropAtMs: keptUntilMs });
     const keptMs = Math.round(keptUntilMs - nowMs);
-    this.inputs.emit(219, { runner: id, keptMs });
-    this.dropLater(id, keptUntilMs);
+    this.options.emit(219, { runner: id, keptMs });
+    this.scheduleDrop(id, keptUntilMs);
   }
 
   /**
-   * The grace ends by a timer of its own. Ended by the next change of the
-   * register, it would never end in one in which nothing changes, and a runner
-   * that has left would get requests for good.
+   * The grace period ends by its own timer. If it ended with the next change of
+   * the register, it would never end while nothing changes, and a runner that
+   * has left would keep getting requests.
    */
-  private dropLater(id: string, dropAtMs: number): void {
-    const delayMs = Math.max(0, dropAtMs - this.inputs.now());
-    this.inputs.after(delayMs, () => {
-      // Another outage: whether it has registered again is read after that.
-      if (this.outage) return;
-      const isMissing = this.entries.get(id)?.dropAtMs === dropAtMs;
+  private scheduleDrop(id: string, dropAtMs: number): void {
+    const delayMs = Math.max(0, dropAtMs - this.options.now());
+    this.options.after(delayMs, () => {
+      // Another outage has begun: whether the server has registered again is
+      // read after it.
+      if (this.isStoreDown) return;
+      const isMissing = this.active.get(id)?.dropAtMs === dropAtMs;
       if (isMissing) this.drop(id, "lapsed");
     });
   }
 
   private drop(id: string, reason: string): void {
-    const entry = this.entries.get(id);
+    const entry = this.active.get(id);
     if (entry === undefined) return;
-    this.entries.delete(id);
-    this.past.addDropped(entry.server);
-    this.ended.add(entry.server);
-    this.inputs.emit(212, { runner: id, reason });
-    this.inputs.onGone(id);
+    this.active.delete(id);
+    this.inactive.addDropped(entry.server);
+    this.tombstones.add(entry.server);
+    this.options.emit(212, { runner: id, reason });
+    this.options.onGone(id);
   }
 }
 
-function isSame(one: BackendServer, other: BackendServer): boolean {
+function hasSameDetails(one: BackendServer, other: BackendServer): boolean {
   return (
     one.startedAtMs === other.startedAtMs &&
     one.address === other.address &&
--- a/src/membership/host-port.ts
+++ b/src/membership/host-port.ts
@@ -1,19 +1,21 @@
-/** Addresses that come from elsewhere. */
+/** Validation of addresses from external sources. */
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** A name or an IPv4 address, or an IPv6 address in brackets; then the port. */
-const HOST_PORT =
+/**
+ * Host name, IPv4 address or IPv6 address in brackets, followed by the port.
+ */
+const HOST_PORT_PATTERN =
   /^(?:[a-z0-9](?:[a-z0-9._-]*[a-z0-9])?|\[[0-9a-f:.]+\]):(\d{1,5})$/i;
 
-/** A name of the domain name system has no more characters. */
-const LONGEST_ADDRESS = 253 + ":65535".length;
+/** DNS names have at most 253 characters. */
+const MAX_ADDRESS_LENGTH = 253 + ":65535".length;
 
-/** Whether a connection can be made to it: host:port, and nothing beside. */
+/** Whether the text is exactly a host:port that can be connected to. */
 export function isHostPort(text: string): boolean {
-  if (text.length > LONGEST_ADDRESS) return false;
-  const port = Number(HOST_PORT.exec(text)?.[1]);
-  if (!(port >= 1 && port <= HIGHEST_PORT)) return false;
-  // Knows which numbers are an IP address.
+  if (text.length > MAX_ADDRESS_LENGTH) return false;
+  const port = Number(HOST_PORT_PATTERN.exec(text)?.[1]);
+  if (!(port >= 1 && port <= MAX_PORT)) return false;
+  // The URL parser checks that numeric hosts are valid IP addresses.
   return URL.canParse(`http://${text}`);
 }
--- a/src/membership/life.ts
+++ b/src/membership/life.ts
@@ -1,22 +1,23 @@
 /**
- * One life of a backend server: from its start to its end. A server may start
- * again under the id that it had, at the same address or another one, and then
- * holds nothing of before; what is known of an earlier life tells nothing of
- * the later one. Id and start together name a life.
+ * Incarnations of a backend server. An incarnation lasts from a start of the
+ * server to its end. A server may restart under the same id, at the same or
+ * another address, and keeps no state; what is known of an earlier incarnation
+ * doesn't apply to a later one. Id and start time together identify an
+ * incarnation.
  */
 
 /**
- * Start of a life, Unix ms by the server's own clock; undefined where the
- * platform doesn't tell, and then only a new id tells a new life.
+ * Start time of an incarnation, Unix ms by the server's own clock. Undefined if
+ * the platform doesn't report it; then only a new id shows a new incarnation.
  */
 export type LifeStart = number | undefined;
 
-/** Where a life stands beside another one of the same id. */
+/** How an incarnation relates in time to another one of the same id. */
 export type LifeOrder = "earlier" | "same" | "later";
 
 /**
- * Where the life `seen` stands beside the one that is known. Two lives that
- * can't be told apart count as the same.
+ * Whether the incarnation `seen` is earlier or later than the known one.
+ * Incarnations that can't be told apart count as the same.
  */
 export function orderOfLives(known: LifeStart, seen: LifeStart): LifeOrder {
   if (known === undefined || seen === undefined) return "same";
--- a/src/membership/register-interval.ts
+++ b/src/membership/register-interval.ts
@@ -1,27 +1,35 @@
 /**
- * How often an entry reads the register. Each reading is a call to the store, and
- * a late one costs the more the less time a leaving server allows.
+ * How often an entry reads the register. Each reading is a call to the store;
+ * the shorter the time that a leaving server allows, the more harm a late
+ * reading does.
  */
-import { REPLACED_GRACE_MS } from "./directory.js";
+import { REPLACEMENT_GRACE_MS } from "./directory.js";
 
-/** After the store's return servers register again, which is read soon, ms. */
-const AFTER_RETURN_MS = 700;
-/** How long that goes on: their grace and some readings more, ms. */
-const RETURNING_MS = 5000;
-/** Shortest time between two readings, whatever the bound, ms. */
-const LEAST_MS = 200;
+/** Interval while servers register again after an outage of the store, ms. */
+const RECOVERY_INTERVAL_MS = 700;
+/**
+ * How long that interval applies: the grace period of the servers plus some
+ * readings, ms.
+ */
+const RECOVERY_PERIOD_MS = 5000;
+/** Lower limit of the interval, ms. */
+const MIN_INTERVAL_MS = 200;
 
 /**
- * Time to the next reading, ms. Within `drainMs`, the time for which a server that
- * leaves may get work, fit two readings and the grace of a replaced life.
- * `sinceReturnMs`: time since the store came back; infinite if it was never away.
+ * Time to the next reading, ms. Two readings and the grace period of a replaced
+ * incarnation fit into `drainMs`, the time for which a leaving server may still
+ * get requests. `sinceOutageMs`: time since the end of the last outage;
+ * infinite if there was none.
  */
 export function registerIntervalMs(
   drainMs: number,
-  sinceReturnMs: number,
+  sinceOutageMs: number,
 ): number {
-  const allowedMs = Math.max(LEAST_MS, (drainMs - REPLACED_GRACE_MS) / 2);
-  return sinceReturnMs < RETURNING_MS
-    ? Math.min(AFTER_RETURN_MS, allowedMs)
+  const allowedMs = Math.max(
+    MIN_INTERVAL_MS,
+    (drainMs - REPLACEMENT_GRACE_MS) / 2,
+  );
+  return sinceOutageMs < RECOVERY_PERIOD_MS
+    ? Math.min(RECOVERY_INTERVAL_MS, allowedMs)
     : allowedMs;
 }
--- a/src/membership/register-reader.ts
+++ b/src/membership/register-reader.ts
@@ -1,8 +1,8 @@
 /**
- * Reads the register record by record. Whoever can write there can write
- * anything: a record that names no runner to use is left out for itself, and
- * the others hold. One that stands where a good one was makes that one unusable
- * too, since nobody knows any more whether it holds.
+ * Decodes the register record by record. Its writers aren't trusted: a record
+ * that doesn't describe a usable runner is skipped without affecting the
+ * others. If it replaces a valid record, that server becomes unusable too,
+ * since the earlier record may no longer be true.
  */
 import { toFailure } from "../internal.js";
 import type { KeyedRecord } from "../platform/keyed-topic.js";
@@ -16,15 +16,15 @@
   readonly findings: RecordFindings;
 }
 
-/** The name under which findings on the register are told. */
+/** Stream name under which unusable register records are reported. */
 export const REGISTER_STREAM = "register";
 
 /**
- * An id goes into a header of every request, where blanks and control
+ * An id is sent in a header of every request, where spaces and control
  * characters would change or break it. Ids of runners have about ten
  * characters.
  */
-const ID = /^[\x21-\x7e]{1,128}$/;
+const SERVER_ID_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
 export class RegisterReader {
   private constructor(private readonly options: RegisterReaderOptions) {}
@@ -33,23 +33,23 @@
     return new RegisterReader(options);
   }
 
-  /** One change for each record, in the same order. Doesn't throw. */
+  /** Returns one change per record, in the same order. Doesn't throw. */
   read(records: readonly KeyedRecord[]): readonly RegisterChange[] {
-    return records.map((record) => this.readOne(record));
+    return records.map((record) => this.readRecord(record));
   }
 
-  private readOne(record: KeyedRecord): RegisterChange {
+  private readRecord(record: KeyedRecord): RegisterChange {
     try {
       const change = this.options.decode(record);
       const reason = unusableReason(change.server);
       if (reason === undefined) return change;
-      return this.leaveOut(record, reason);
+      return this.skip(record, reason);
     } catch (error) {
-      return this.leaveOut(record, toFailure(error, 1903).message);
+      return this.skip(record, toFailure(error, 1903).message);
     }
   }
 
-  private leaveOut(record: KeyedRecord, reason: string): RegisterChange {
+  private skip(record: KeyedRecord, reason: string): RegisterChange {
     const { key, value = Buffer.alloc(0) } = record;
     this.options.findings.note({
       stream: REGISTER_STREAM,
@@ -61,12 +61,12 @@
   }
 }
 
-/** Undefined for a runner that can be used, and for a removal. */
+/** Undefined for a usable runner and for a removal. */
 function unusableReason(server: BackendServer | undefined): string | undefined {
   if (server === undefined) return undefined;
   const { id, address, slots } = server;
-  if (!ID.test(id)) return "the key is no id of a runner";
-  if (!isHostPort(address)) return "the address is no host:port";
-  if (slots < 1) return "no slots";
+  if (!SERVER_ID_PATTERN.test(id)) return "the key is not a valid server id";
+  if (!isHostPort(address)) return "the address is not a host:port";
+  if (slots < 1) return "slots must be at least 1";
   return undefined;
 }
--- a/src/membership/runner-groups.ts
+++ b/src/membership/runner-groups.ts
@@ -1,7 +1,8 @@
 /**
- * Which backend servers form a group, as the planner of each group tells the
- * entries. All ranks of a group make each step together, slow down together and
- * refuse together, so an entry decides by group how much it sends and where.
+ * Which backend servers form a group, as published by the planner of each
+ * group. All ranks of a group execute each step together, slow down together
+ * and refuse requests together, so an entry decides by group how many requests
+ * it sends and where.
  */
 import { z } from "zod";
 import { toFailure } from "../internal.js";
@@ -10,31 +11,31 @@
 import type { RecordFindings } from "../platform/record-findings.js";
 import { isHostPort } from "./host-port.js";
 
-/** The members of one group, as its planner last saw it whole. */
+/** Members of one group, as its planner last saw it complete. */
 export interface GroupNote {
-  /** Service and group. */
+  /** Name of the service and the group, as `service.group`. */
   readonly name: string;
   readonly service: string;
-  /** New whenever the group was formed anew. */
+  /** Changes whenever the group is formed again. */
   readonly epoch: number;
-  /** host:port of its runners. */
+  /** Addresses of its runners, host:port. */
   readonly addresses: readonly string[];
 }
 
-/** The name under which findings on notes are told. */
+/** Stream name under which unreadable notes are reported. */
 export const GROUPS_STREAM = "groups";
 
-/** Of runners that belong to no known group. */
+/** Group name of runners that belong to no known group. */
 export const NO_GROUP = "";
 
-const MOST_RANKS = 4096;
+const MAX_RANKS = 4096;
 
 const valueSchema = z.object({
   service: z.string().min(1),
   epoch: z.int(),
   addresses: z
-    .array(z.string().refine(isHostPort, "no host:port"))
-    .max(MOST_RANKS),
+    .array(z.string().refine(isHostPort, "not a host:port"))
+    .max(MAX_RANKS),
 });
 
 export function encodeGroupNote(note: GroupNote): Buffer {
@@ -42,7 +43,9 @@
   return Buffer.from(JSON.stringify({ service, epoch, addresses }));
 }
 
-/** The notes that can be read; the others are findings. Doesn't throw. */
+/**
+ * Returns the readable notes and reports the others as findings. Doesn't throw.
+ */
 export function readGroupNotes(
   records: readonly KeyedRecord[],
   findings: RecordFindings,
@@ -59,26 +62,28 @@
   });
 }
 
-/** Services with fewer groups are decided on as a whole. */
-const LEAST_GROUPS = 2;
+/** Services with fewer groups aren't divided by group. */
+const MIN_GROUPS = 2;
 
 export class RunnerGroups {
   private readonly epochs = new Map<string, number>();
-  /** By host:port of a runner; the last note that names it counts. */
+  /**
+   * By address of the runner, host:port; the last note that names it applies.
+   */
   private readonly byAddress = new Map<string, GroupNote>();
-  /** Groups that have runners, by service. */
-  private readonly ofService = new Map<string, Set<string>>();
+  /** Names of the groups that have runners, by service. */
+  private readonly groupsByService = new Map<string, Set<string>>();
 
   static create(): RunnerGroups {
     return new RunnerGroups();
   }
 
-  /** Groups that were ever told of. */
+  /** Number of groups seen since the start. */
   get size(): number {
     return this.epochs.size;
   }
 
-  /** True when the group has formed anew, or wasn't known before. */
+  /** Returns whether the group has been formed again or wasn't known. */
   take(note: GroupNote): boolean {
     const { name, epoch, addresses } = note;
     for (const [address, known] of this.byAddress) {
@@ -92,21 +97,22 @@
   }
 
   /**
-   * `address`: host:port of a runner. In a service with one group no runner is told
-   * apart: one that has just come back belongs to it before its planner says so.
+   * Group of the runner at the address, host:port. If the service has only one
+   * group, its runners aren't distinguished: one that has just come back
+   * belongs to the group before the planner publishes it.
    */
   groupOf(address: string): string {
     const note = this.byAddress.get(address);
     if (note === undefined) return NO_GROUP;
-    const groups = this.ofService.get(note.service)?.size ?? 0;
-    return groups < LEAST_GROUPS ? NO_GROUP : note.name;
+    const groups = this.groupsByService.get(note.service)?.size ?? 0;
+    return groups < MIN_GROUPS ? NO_GROUP : note.name;
   }
 
   private countGroups(): void {
-    this.ofService.clear();
+    this.groupsByService.clear();
     for (const { service, name } of this.byAddress.values()) {
-      const groups = this.ofService.get(service) ?? new Set();
-      this.ofService.set(service, groups.add(name));
+      const groups = this.groupsByService.get(service) ?? new Set();
+      this.groupsByService.set(service, groups.add(name));
     }
   }
 }
--- a/src/membership/slow-runners.ts
+++ b/src/membership/slow-runners.ts
@@ -1,11 +1,11 @@
 /**
- * Runners that work slowly, as the planner of their group tells the entries.
+ * Slow runners, as published by the planner of their group.
  *
- * All ranks of a group make each step together, so an entry can't see which of
- * them is the slow one: all of its streams pause alike. A slow rank with work
- * of its own keeps the whole group at its pace; left without, the others go on
- * almost as before. The planner reads every rank's pace anyway, free of cost,
- * and writes down what is out of the ordinary.
+ * All ranks of a group execute each step together, so an entry can't tell which
+ * rank is slow: all of its streams stall alike. A slow rank with requests of
+ * its own slows the whole group down; without them, the others run at almost
+ * full speed. The planner knows the pace of every rank anyway and publishes the
+ * unusual ones.
  */
 import { z } from "zod";
 import { raise, toFailure, type Emit, type Now } from "../internal.js";
@@ -16,29 +16,30 @@
 import { orderOfLives, type LifeStart } from "./life.js";
 import type { BackendServer } from "./types.js";
 
-/** One rank's pace. */
+/** Pace of one rank. */
 export interface PaceNote {
   /** host:port of the runner. */
   readonly address: string;
-  /** How many times as long as usual it takes for its work. */
+  /** Factor by which the rank takes longer than usual for its work. */
   readonly slowness: number;
-  /** Life of the runner that the note is about. */
+  /** Incarnation of the runner that the note describes. */
   readonly startedAtMs: LifeStart;
 }
 
-/** A rank counts as slow from here on. */
+/** A rank counts as slow from this factor on. */
 export const SLOW_FROM = 1.5;
 
 /**
- * A note that isn't written again counts for this time, ms: when its writer is
- * gone and nobody says that the rank has recovered, it isn't left out for good.
+ * How long a note applies unless it is published again, ms. If its writer is
+ * gone, nobody reports that the rank has recovered; it must not be excluded
+ * forever.
  */
 export const NOTE_LASTS_MS = 9000;
 
-/** The name under which findings on notes are told. */
+/** Stream name under which unreadable notes are reported. */
 export const PACE_STREAM = "pace";
 
-/** An older reader passes over the start; an older writer gives none. */
+/** Older readers ignore `startedAtMs`; older writers omit it. */
 const valueSchema = z.object({
   slowness: z.number().positive(),
   startedAtMs: z.int().optional(),
@@ -48,19 +49,21 @@
   return Buffer.from(JSON.stringify({ slowness, startedAtMs }));
 }
 
-/** Undefined for a key that was dropped. Throws 1903. */
+/** Undefined for a removed key. Throws 1903. */
 export function decodePaceNote({
   key,
   value,
 }: KeyedRecord): PaceNote | undefined {
   if (value === undefined) return undefined;
   if (!isHostPort(key))
-    return raise(1903, { reason: "the key is no host:port" });
+    return raise(1903, { reason: "the key is not a host:port" });
   const { slowness, startedAtMs } = decodeJson(valueSchema, value);
   return { address: key, slowness, startedAtMs };
 }
 
-/** The notes that can be read; the others are findings. Doesn't throw. */
+/**
+ * Returns the readable notes and reports the others as findings. Doesn't throw.
+ */
 export function readPaceNotes(
   records: readonly KeyedRecord[],
   findings: RecordFindings,
@@ -77,15 +80,15 @@
   });
 }
 
-interface SlowLife {
+interface SlowRunner {
   readonly startedAtMs: LifeStart;
-  /** Monotonic time until which the note counts, ms. */
+  /** When the note expires, monotonic ms. */
   readonly untilMs: number;
 }
 
 export class SlowRunners {
-  /** By address. */
-  private readonly slow = new Map<string, SlowLife>();
+  /** Slow runners by address. */
+  private readonly slow = new Map<string, SlowRunner>();
 
   private constructor(
     private readonly now: Now,
@@ -97,10 +100,11 @@
   }
 
   take({ address, slowness, startedAtMs }: PaceNote): void {
-    this.forgetLapsed();
+    this.removeExpired();
     const known = this.slow.get(address);
     const order = orderOfLives(known?.startedAtMs, startedAtMs);
-    // Written late: it must not undo what is known of a later life.
+    // A late note of an earlier incarnation must not override one of a later
+    // one.
     if (order === "earlier") return;
     const isSlow = slowness >= SLOW_FROM;
     if (isSlow !== this.isSlow(address, startedAtMs)) {
@@ -114,15 +118,18 @@
     this.slow.set(address, { startedAtMs, untilMs });
   }
 
-  /** Addresses come and go; nobody takes back a note of one that is gone. */
-  private forgetLapsed(): void {
+  /**
+   * Notes of addresses that are no longer used are never withdrawn, only
+   * expire.
+   */
+  private removeExpired(): void {
     const nowMs = this.now();
     for (const [address, { untilMs }] of this.slow) {
       if (untilMs <= nowMs) this.slow.delete(address);
     }
   }
 
-  /** A note of an earlier life at the address doesn't count. */
+  /** A note of an earlier incarnation at the address doesn't apply. */
   isSlow(address: string, startedAtMs: LifeStart): boolean {
     const known = this.slow.get(address);
     if (known === undefined || known.untilMs <= this.now()) return false;
@@ -130,8 +137,9 @@
   }
 
   /**
-   * The life is over. A note that doesn't say whose it is goes with it: it is
-   * written again within seconds if the later life is slow as well.
+   * The incarnation has ended. A note without a start time is deleted with it:
+   * if the later incarnation is slow as well, it is published again within
+   * seconds.
    */
   forget({
     address,
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -1,30 +1,33 @@
-/** Types of membership: the backend servers that registered themselves. */
+/** Types of membership: backend servers that registered themselves. */
 import type { LifeStart } from "./life.js";
 
 export interface BackendServer {
-  /** Kept over a restart; with `startedAtMs` it names one life. */
+  /**
+   * Unchanged by a restart; together with `startedAtMs` it identifies one
+   * incarnation.
+   */
   readonly id: string;
   readonly startedAtMs: LifeStart;
   readonly service: string;
-  /** host:port; may belong to another runner later. */
+  /** host:port; may later belong to another runner. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
-  /** A leaving one takes no new work. */
+  /** A leaving server accepts no new requests. */
   readonly isLeaving: boolean;
-  /** Rises with each registration of one life. */
+  /** Increases with each registration of one incarnation. */
   readonly heartbeat: number;
 }
 
-/** One change of the register: a registration, or the end of one. */
+/** A change of the register: a registration or the end of one. */
 export interface RegisterChange {
   readonly id: string;
-  /** Absent when the registration was removed or has lapsed. */
+  /** Undefined if the registration was removed or has expired. */
   readonly server: BackendServer | undefined;
-  /** Set where the record is there and names no runner to use. */
+  /** Set if the record exists but doesn't describe a usable runner. */
   readonly isUnusable?: boolean;
 }
 
-/** Runs the action after the time, ms, or as soon as it can at 0. */
+/** Schedules the action after the delay, ms; with 0, as soon as possible. */
 export type After = (delayMs: number, action: () => void) => void;
--- a/src/orders/lease.ts
+++ b/src/orders/lease.ts
@@ -1,13 +1,13 @@
 /**
- * The lease for giving orders, and the orders themselves, kept on a stream of
- * the platform's log. Who holds the lease and which orders count is a function
- * of the log alone, so everybody computes the same. The offset of an order's
- * record is its fencing number: a later order always has the higher one.
+ * The lease for issuing orders, and the orders themselves, stored in a stream
+ * of the platform's log. The lease holder and the valid orders are a function
+ * of the log alone, so every reader computes the same result. The offset of an
+ * order's record is its fencing token: later orders have higher ones.
  *
- * The time limit only tells others when they may try to take over. It isn't
- * what makes a paused holder harmless: its late record follows on a lease that
- * is no longer in force and counts for nothing, and an order that counted
- * before is fenced by the engine, or by the agent beside it.
+ * The duration only tells others when they may try to take over. Safety against
+ * a paused holder doesn't depend on it: a late record refers to a lease that is
+ * no longer valid and is ignored, and an order that was valid before is fenced
+ * by the engine or by the agent beside it.
  */
 import type { Order } from "../internal.js";
 
@@ -15,11 +15,11 @@
   readonly kind: "acquire" | "renew" | "release";
   readonly holder: string;
   /**
-   * What it follows on, as its writer knew it: the latest renewal for
-   * `acquire`, the lease itself for the others.
+   * Offset of the record it follows, as its writer knew it: the latest renewal
+   * for `acquire`, the acquisition of the lease for the others.
    */
   readonly after: number;
-  /** The writer's own clock before the append; others don't read it. */
+  /** Time before the append by the writer's own clock; others don't use it. */
   readonly sentAt: number;
 }
 
@@ -33,17 +33,21 @@
 export interface Lease {
   readonly holder: string;
   /** Offset of the record that acquired it. */
-  readonly number: number;
-  /** Offset of the record that acquired or renewed it last. */
-  readonly renewal: number;
+  readonly acquiredOffset: number;
+  /** Offset of the latest record that acquired or renewed it. */
+  readonly renewedOffset: number;
 }
 
-/** No lease was ever acquired. */
-export const noLease: Lease = { holder: "", number: -1, renewal: -1 };
+/** State before any lease was acquired. */
+export const noLease: Lease = {
+  holder: "",
+  acquiredOffset: -1,
+  renewedOffset: -1,
+};
 
 /**
- * The lease after one more record. A record that follows on another lease than
- * the one in force lost a race and changes nothing.
+ * Returns the lease after one more record. A record that follows another lease
+ * than the valid one has lost a race and changes nothing.
  */
 export function applyLeaseRecord(
   lease: Lease,
@@ -52,50 +56,53 @@
 ): Lease {
   const { kind, holder, after } = record;
   if (kind === "acquire") {
-    // A writer that reads the log late takes its lag for the holder's silence;
-    // it doesn't know the renewal that came meanwhile, and so it fails.
-    if (after !== lease.renewal) return lease;
-    return { holder, number: offset, renewal: offset };
+    // A writer that lags behind in the log mistakes its lag for a silent
+    // holder. It doesn't know the latest renewal, so its attempt fails here.
+    if (after !== lease.renewedOffset) return lease;
+    return { holder, acquiredOffset: offset, renewedOffset: offset };
   }
-  if (after !== lease.number || holder !== lease.holder) return lease;
-  const remains = kind === "renew" ? holder : "";
-  return { ...lease, holder: remains, renewal: offset };
+  if (after !== lease.acquiredOffset || holder !== lease.holder) return lease;
+  const nextHolder = kind === "renew" ? holder : "";
+  return { ...lease, holder: nextHolder, renewedOffset: offset };
 }
 
-/** The order of a record, when its writer held the lease at that place. */
+/** Returns the order if its writer held the lease at that offset. */
 export function acceptedOrder(
   lease: Lease,
   record: OrderRecord,
   offset: number,
 ): Order | undefined {
   const { holder, after, order } = record;
-  const held = lease.holder === holder && lease.number === after;
-  return held ? { ...order, fencing: offset } : undefined;
+  const isHeld = lease.holder === holder && lease.acquiredOffset === after;
+  return isHeld ? { ...order, fencing: offset } : undefined;
 }
 
 /**
- * A holder stops this long before others may take over, so that clocks which
- * drift apart by a hundredth within a lease still agree that it has ended.
+ * Share of the lease duration by which a holder stops before others may take
+ * over. Allows clocks to drift apart by a hundredth within a lease.
+ */
+const SAFETY_MARGIN_SHARE = 0.1;
+/**
+ * Number of renewal attempts within one lease duration, so that some may be
+ * lost.
  */
-const MARGIN_SHARE = 0.1;
-/** Renewals that may be lost before the lease lapses. */
 const RENEWALS_PER_LEASE = 3;
 
 export type LeaseStep = "none" | "acquire" | "renew";
 
-/** Switched off only by the fuzzer. */
+/** Safeguards that only the fuzzer switches off. */
 export interface LeaseSafeguards {
   readonly countsFromSending: boolean;
 }
 
-/** One process's view of the lease, and when it may act under it. */
+/** The lease as seen by one process, and whether it may act under it. */
 export class LeaseHolder {
   private lease: Lease = noLease;
-  /** When the latest renewal was read here. */
-  private seenAt: number;
-  /** Until when the own lease certainly holds. */
+  /** When this process read the latest renewal. */
+  private renewalSeenAt: number;
+  /** Until when this process certainly holds the lease. */
   private heldUntil = Number.NEGATIVE_INFINITY;
-  private appendedAt = Number.NEGATIVE_INFINITY;
+  private lastAppendAt = Number.NEGATIVE_INFINITY;
 
   private constructor(
     private readonly holder: string,
@@ -103,7 +110,7 @@
     now: number,
     private readonly safeguards: LeaseSafeguards,
   ) {
-    this.seenAt = now;
+    this.renewalSeenAt = now;
   }
 
   static create(
@@ -119,41 +126,48 @@
     return this.lease;
   }
 
-  /** The lease is held here for certain. */
+  /** Whether this process certainly holds the lease. */
   holds(now: number): boolean {
     return this.lease.holder === this.holder && now < this.heldUntil;
   }
 
-  /** What to append now, if anything. */
+  /** The record to append now, if any. */
   next(now: number): LeaseStep {
     const { holder } = this.lease;
     const { durationMs } = this;
-    const pause = durationMs / RENEWALS_PER_LEASE;
-    if (now < this.appendedAt + pause) return "none";
+    const intervalMs = durationMs / RENEWALS_PER_LEASE;
+    if (now < this.lastAppendAt + intervalMs) return "none";
     if (holder === this.holder) return "renew";
-    const free = holder === "" || now >= this.seenAt + durationMs;
-    return free ? "acquire" : "none";
+    const isFree = holder === "" || now >= this.renewalSeenAt + durationMs;
+    return isFree ? "acquire" : "none";
   }
 
-  /** The record for a step; the time counts from before it is sent. */
+  /**
+   * Creates the record for a step. The lease counts from `now`, before the
+   * record is sent.
+   */
   record(step: Exclude<LeaseStep, "none">, now: number): LeaseRecord {
-    this.appendedAt = now;
+    this.lastAppendAt = now;
     const { holder, lease } = this;
-    const after = step === "acquire" ? lease.renewal : lease.number;
+    const after =
+      step === "acquire" ? lease.renewedOffset : lease.acquiredOffset;
     return { kind: step, holder, after, sentAt: now };
   }
 
-  /** A record was read from the log; whether an append landed shows here. */
+  /**
+   * Applies a record read from the log, which also shows whether an own append
+   * succeeded.
+   */
   observe(record: LeaseRecord, offset: number, now: number): void {
     const before = this.lease;
     this.lease = applyLeaseRecord(before, record, offset);
     if (this.lease === before) return;
-    this.seenAt = now;
+    this.renewalSeenAt = now;
     if (this.lease.holder !== this.holder) return;
-    // Counted from before the append, while others count from when they read
-    // it: however late the record is read here, this side stops first.
-    const safe = this.durationMs * (1 - MARGIN_SHARE);
-    const from = this.safeguards.countsFromSending ? record.sentAt : now;
-    this.heldUntil = Math.max(this.heldUntil, from + safe);
+    // The holder counts from before its append, the others from when they read
+    // the record: however late the record is read here, the holder stops first.
+    const safeMs = this.durationMs * (1 - SAFETY_MARGIN_SHARE);
+    const countedFrom = this.safeguards.countsFromSending ? record.sentAt : now;
+    this.heldUntil = Math.max(this.heldUntil, countedFrom + safeMs);
   }
 }
--- a/src/orders/order-desk.ts
+++ b/src/orders/order-desk.ts
@@ -1,13 +1,13 @@
 /**
- * The agent's side of orders to its engine.
+ * Carries out orders to the engine of one agent.
  *
- * Harm prevented: a holder that was paused, or an order that was sent long ago,
- * changes the engine back after a newer order was confirmed. An engine that
- * checks fencing numbers refuses the old order itself. One that ignores them
- * would obey, so only this agent gives it orders: one at a time, compared with
- * the newest order in the log, and after every start and every lost answer only
- * once the longest time has passed in which an order already sent can still
- * take effect. The state is read back before an order counts as confirmed.
+ * Prevents a paused holder's order, or one that was sent long ago, from
+ * changing the engine back after a newer order was confirmed. An engine that
+ * checks fencing tokens refuses the old order itself. For one that ignores
+ * them, only this agent sends orders: one at a time, compared with the newest
+ * order in the log, and, after each start and each lost response, only after
+ * the maximum time in which an order that was already sent can still take
+ * effect. An order counts as confirmed once the engine's state shows it.
  */
 import {
   failure,
@@ -22,7 +22,7 @@
   type OrderKind,
 } from "../internal.js";
 
-/** Switched off only by the fuzzer. */
+/** Safeguards that only the fuzzer switches off. */
 export interface OrderSafeguards {
   readonly waitsOut: boolean;
   readonly comparesFencing: boolean;
@@ -35,26 +35,29 @@
   learnsFromLog: true,
 };
 
-interface Running {
+interface RunningOrder {
   readonly order: Order;
-  readonly takenAt: number;
-  /** An answer was lost: only the state read after the wait counts. */
-  lost: boolean;
-  given: boolean;
-  readAt: number;
+  readonly acceptedAt: number;
+  /** A response was lost: only the state read after the wait counts. */
+  isAnswerLost: boolean;
+  isSent: boolean;
+  nextCallAt: number;
 }
 
-/** Time between two looks at an engine that doesn't show the order yet. */
+/**
+ * Interval between reads of the state of an engine that doesn't show the order
+ * yet, ms.
+ */
 const READ_INTERVAL_MS = 200;
-/** A caller of an agent that has yet to read the log asks again after this. */
-const LOG_RETRY_MS = 1_000;
+/** Retry delay for callers while the agent hasn't read the log, ms. */
+const LOG_UNREAD_RETRY_MS = 1_000;
 
 export class OrderDesk {
-  /** Highest fencing number known for each kind. */
-  private readonly highest = new Map<OrderKind, number>();
-  private logRead = false;
-  private running: Running | undefined;
-  private outstanding: OrderCall | undefined;
+  /** Highest fencing token known for each kind. */
+  private readonly highestFencing = new Map<OrderKind, number>();
+  private isLogRead = false;
+  private runningOrder: RunningOrder | undefined;
+  private pendingCall: OrderCall | undefined;
   private blockedUntil: number;
   private effects: OrderEffect[] = [];
 
@@ -64,9 +67,9 @@
     private readonly safeguards: OrderSafeguards,
     now: number,
   ) {
-    // The agent before this one may have sent an order just before it ended.
-    this.blockedUntil = this.waitFrom(now);
-    if (this.blockedUntil > now) this.tellWait("start");
+    // A previous agent may have sent an order just before it ended.
+    this.blockedUntil = this.waitEndsAt(now);
+    if (this.blockedUntil > now) this.emitWait("start");
   }
 
   static create(
@@ -78,95 +81,99 @@
     return new OrderDesk(settings, emit, safeguards, now);
   }
 
-  /** No order is under way. */
+  /** Whether no order is in progress. */
   get idle(): boolean {
-    return this.running === undefined;
+    return this.runningOrder === undefined;
   }
 
-  /** The newest orders for this engine in the log, read to its end. */
+  /**
+   * Called with the newest orders for this engine once the log was read to its
+   * end.
+   */
   learn(newest: readonly Order[]): void {
-    this.logRead = true;
-    for (const order of newest) this.raise(order);
+    this.isLogRead = true;
+    for (const order of newest) this.raiseHighestFencing(order);
   }
 
   take(order: Order, now: number): readonly OrderEffect[] {
     const refusal = this.refusalOf(order, now);
     if (refusal !== undefined) {
       const { fencing } = order;
-      const highest = this.highestOf(order);
+      const highest = this.highestFencingOf(order);
       this.emit(171, { fencing, highest, error: refusal.number });
       this.reply({ kind: "failed", order, error: refusal });
-      return this.proceed(now);
+      return this.advance(now);
     }
-    this.raise(order);
-    this.running = {
+    this.raiseHighestFencing(order);
+    this.runningOrder = {
       order,
-      takenAt: now,
-      lost: false,
-      given: false,
-      readAt: now,
+      acceptedAt: now,
+      isAnswerLost: false,
+      isSent: false,
+      nextCallAt: now,
     };
-    return this.proceed(now);
+    return this.advance(now);
   }
 
   answered(answer: OrderAnswer, now: number): readonly OrderEffect[] {
-    const call = this.outstanding;
-    this.outstanding = undefined;
-    const { running } = this;
-    if (running === undefined) return this.proceed(now);
+    const call = this.pendingCall;
+    this.pendingCall = undefined;
+    const { runningOrder: running } = this;
+    if (running === undefined) return this.advance(now);
     if (call?.kind === "give") {
-      running.given = true;
+      running.isSent = true;
       if (!answer.accepted) this.fail(failure(1701));
-      return this.proceed(now);
+      return this.advance(now);
     }
-    this.readBack(running, answer.state, now);
-    return this.proceed(now);
+    this.compareState(running, answer.state, now);
+    return this.advance(now);
   }
 
-  /** Whether the engine got the order isn't known. */
+  /** The call failed; whether the engine received the order is unknown. */
   failed(now: number): readonly OrderEffect[] {
-    const call = this.outstanding;
-    this.outstanding = undefined;
-    const { running } = this;
+    const call = this.pendingCall;
+    this.pendingCall = undefined;
+    const { runningOrder: running } = this;
     if (call?.kind === "give" && running !== undefined) {
-      // An engine that checks can be told the same again at once.
-      running.lost = !this.settings.checksFencing;
-      running.given = running.lost;
-      this.blockedUntil = this.waitFrom(now);
-      if (running.lost) this.tellWait("lost answer");
+      // An engine that checks fencing tokens can be sent the same order again
+      // at once.
+      running.isAnswerLost = !this.settings.checksFencing;
+      running.isSent = running.isAnswerLost;
+      this.blockedUntil = this.waitEndsAt(now);
+      if (running.isAnswerLost) this.emitWait("lost answer");
     }
-    if (running !== undefined) running.readAt = now + READ_INTERVAL_MS;
-    return this.proceed(now);
+    if (running !== undefined) running.nextCallAt = now + READ_INTERVAL_MS;
+    return this.advance(now);
   }
 
   tick(now: number): readonly OrderEffect[] {
-    return this.proceed(now);
+    return this.advance(now);
   }
 
   private refusalOf(order: Order, now: number): ApricotdeckError | undefined {
     const { fencing } = order;
     const { safeguards } = this;
-    const highest = this.highestOf(order);
+    const highest = this.highestFencingOf(order);
     if (safeguards.comparesFencing && fencing < highest) {
       return failure(1701, { fencing, highest });
     }
-    // Only the log tells a new agent how new an order must be.
-    const blind = safeguards.learnsFromLog && !this.logRead;
-    if (blind && !this.settings.checksFencing) {
-      return failure(1702, { retryAfterMs: LOG_RETRY_MS });
+    // A new agent learns only from the log which orders are outdated.
+    const isOutdatedUnknown = safeguards.learnsFromLog && !this.isLogRead;
+    if (isOutdatedUnknown && !this.settings.checksFencing) {
+      return failure(1702, { retryAfterMs: LOG_UNREAD_RETRY_MS });
     }
     const retryAfterMs = Math.max(0, this.blockedUntil - now);
     if (retryAfterMs > 0) return failure(1702, { retryAfterMs });
-    if (this.running === undefined) return undefined;
+    if (this.runningOrder === undefined) return undefined;
     return failure(1702, { retryAfterMs: READ_INTERVAL_MS });
   }
 
-  private proceed(now: number): readonly OrderEffect[] {
-    const { running } = this;
-    if (running !== undefined && this.outstanding === undefined) {
+  private advance(now: number): readonly OrderEffect[] {
+    const { runningOrder: running } = this;
+    if (running !== undefined && this.pendingCall === undefined) {
       const call = this.nextCall(running, now);
       if (call !== undefined) {
-        this.outstanding = call;
+        this.pendingCall = call;
         this.effects.push({ kind: "engine", call });
       }
     }
@@ -175,66 +182,67 @@
     return effects;
   }
 
-  private nextCall(running: Running, now: number): OrderCall | undefined {
-    if (now < running.readAt) return undefined;
-    const { order, lost, given } = running;
-    if (!given) return { kind: "give", order };
-    // Read before the wait is over, the state might yet be changed by the order
-    // that nobody knows the fate of.
-    if (lost && now < this.blockedUntil) return undefined;
+  private nextCall(running: RunningOrder, now: number): OrderCall | undefined {
+    if (now < running.nextCallAt) return undefined;
+    const { order, isAnswerLost, isSent } = running;
+    if (!isSent) return { kind: "give", order };
+    // Until the wait is over, the order with the lost response may still change
+    // the state.
+    if (isAnswerLost && now < this.blockedUntil) return undefined;
     return { kind: "read" };
   }
 
-  private readBack(
-    running: Running,
+  private compareState(
+    running: RunningOrder,
     state: EngineOrderState,
     now: number,
   ): void {
-    const { order, takenAt } = running;
+    const { order, acceptedAt } = running;
     const { kind, value, fencing } = order;
     if (state.values[kind] === value) {
-      this.running = undefined;
-      const durationMs = now - takenAt;
+      this.runningOrder = undefined;
+      const durationMs = now - acceptedAt;
       this.emit(170, { fencing, kind, value, durationMs });
       this.reply({ kind: "confirmed", order });
       return;
     }
-    const over = running.lost || now >= takenAt + this.settings.effectMs;
-    if (over) this.fail(failure(1703, { fencing }));
-    else running.readAt = now + READ_INTERVAL_MS;
+    const isExpired =
+      running.isAnswerLost || now >= acceptedAt + this.settings.effectMs;
+    if (isExpired) this.fail(failure(1703, { fencing }));
+    else running.nextCallAt = now + READ_INTERVAL_MS;
   }
 
   private fail(error: ApricotdeckError): void {
-    const { running } = this;
+    const { runningOrder: running } = this;
     if (running === undefined) return;
-    this.running = undefined;
+    this.runningOrder = undefined;
     const { order } = running;
     const { fencing } = order;
-    const highest = this.highestOf(order);
+    const highest = this.highestFencingOf(order);
     this.emit(171, { fencing, highest, error: error.number });
     this.reply({ kind: "failed", order, error });
   }
 
-  private highestOf({ kind }: Order): number {
-    return this.highest.get(kind) ?? -1;
+  private highestFencingOf({ kind }: Order): number {
+    return this.highestFencing.get(kind) ?? -1;
   }
 
-  private raise(order: Order): void {
-    const highest = Math.max(this.highestOf(order), order.fencing);
-    this.highest.set(order.kind, highest);
+  private raiseHighestFencing(order: Order): void {
+    const highest = Math.max(this.highestFencingOf(order), order.fencing);
+    this.highestFencing.set(order.kind, highest);
   }
 
   private reply(reply: (OrderEffect & { kind: "reply" })["reply"]): void {
     this.effects.push({ kind: "reply", reply });
   }
 
-  private waitFrom(now: number): number {
+  private waitEndsAt(now: number): number {
     const { checksFencing, effectMs } = this.settings;
-    const waits = !checksFencing && this.safeguards.waitsOut;
-    return waits ? now + effectMs : now;
+    const mustWait = !checksFencing && this.safeguards.waitsOut;
+    return mustWait ? now + effectMs : now;
   }
 
-  private tellWait(reason: "start" | "lost answer"): void {
+  private emitWait(reason: "start" | "lost answer"): void {
     const waitMs = this.settings.effectMs;
     this.emit(172, { waitMs, reason });
   }
--- a/src/orders/types.ts
+++ b/src/orders/types.ts
@@ -1,41 +1,51 @@
-/** Types of orders to engines: load a model, an adapter, a version; a role. */
+/**
+ * Types of orders to engines: load a model or an adapter, or set a version or a
+ * role.
+ */
 import type { ApricotdeckError } from "../internal.js";
 
 export type OrderKind = "load-model" | "load-adapter" | "version" | "role";
 
 export interface Order {
-  /** Log offset of the order's own record; higher is newer. */
+  /**
+   * Log offset of the order's own record, used as its fencing token; higher is
+   * newer.
+   */
   readonly fencing: number;
-  /** Backend server whose engine it is for. */
+  /** Backend server whose engine receives the order. */
   readonly runner: string;
   readonly kind: OrderKind;
-  /** Name of what is to be loaded, or of the role. */
+  /** Name of the model or adapter to load, the version or the role. */
   readonly value: string;
 }
 
-/** What an engine shows on `GET /orders`: the last value of each kind. */
+/**
+ * State that an engine reports on `GET /orders`: the last value of each kind.
+ */
 export interface EngineOrderState {
-  /** New for every start of the engine. */
+  /** Changes with every start of the engine. */
   readonly engine: string;
   readonly values: Readonly<Partial<Record<OrderKind, string>>>;
-  /** Highest fencing number seen; absent in engines that ignore the number. */
+  /** Highest fencing token seen; absent for engines that ignore it. */
   readonly fencing?: number;
 }
 
-/** How the engine of a backend server treats fencing numbers. */
+/** How the engine of a backend server handles fencing tokens. */
 export interface EngineOrderSettings {
-  /** The engine refuses an order with an old fencing number. */
+  /** Whether the engine refuses orders with an old fencing token. */
   readonly checksFencing: boolean;
-  /** Longest time in which an order already sent can still take effect, ms. */
+  /**
+   * Maximum time in which an order that was already sent can take effect, ms.
+   */
   readonly effectMs: number;
 }
 
 export type OrderCall =
   { readonly kind: "give"; readonly order: Order } | { readonly kind: "read" };
 
-/** The engine's answer to an order that is given comes after its effect. */
+/** Response of the engine; to an order, it is sent after the effect. */
 export interface OrderAnswer {
-  /** False when the engine refused the fencing number. */
+  /** False if the engine refused the fencing token. */
   readonly accepted: boolean;
   readonly state: EngineOrderState;
 }
--- a/src/suspects/crash-watch.ts
+++ b/src/suspects/crash-watch.ts
@@ -1,14 +1,14 @@
 /**
- * Finds out whether a lost run was lost to a crash of its backend server. A
- * connection that ends without an answer doesn't tell: it may have been reset on
- * the way, and in a group the streams of all ranks break when one crashes. The
- * server that crashed is the one whose port is closed then, that a refusal names,
- * or that has started again.
+ * Detects whether a run was lost because its backend server crashed. A
+ * connection that ends without a response doesn't show that: it may have been
+ * reset on the way, and in a group the streams of all ranks break when one
+ * crashes. The crashed server is the one whose port is closed, that a refusal
+ * names as faulty, or that has restarted.
  */
 import type { Emit, Now } from "../internal.js";
 import type { SuspectRequests } from "./suspect-requests.js";
 
-/** What listens at an address. */
+/** Result of a connection attempt; `silent`: no response within the timeout. */
 export type PortState = "open" | "closed" | "silent";
 
 export interface WatchedRunner {
@@ -23,13 +23,13 @@
   readonly sentAtMs: number;
 }
 
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   /** Unix ms. */
   readonly now: Now;
   readonly emit: Emit;
   readonly suspects: SuspectRequests;
   readonly portState: (address: string) => Promise<PortState>;
-  /** There is something to tell the other entries. */
+  /** Called when there is new evidence to share with the other entries. */
   readonly onEvidence: () => void;
 }
 
@@ -38,43 +38,44 @@
 }
 
 /**
- * A crash shows within this time, ms: the other ranks wait for the one that is
- * gone for a second or two before they refuse, and servers take seconds to start.
+ * How long a lost run waits for evidence of a crash, ms. The other ranks wait
+ * one or two seconds for a missing rank before they refuse requests, and
+ * servers take seconds to start.
  */
-export const PENDING_MS = 6000;
+export const DETECTION_WINDOW_MS = 6000;
 
-export class CrashWatch {
+export class CrashDetector {
   /** Lost runs by the id of their server. */
   private readonly pending = new Map<string, readonly PendingRun[]>();
-  private readonly looks = new Map<string, Promise<PortState>>();
+  private readonly probes = new Map<string, Promise<PortState>>();
 
-  private constructor(private readonly options: CrashWatchOptions) {}
+  private constructor(private readonly options: CrashDetectorOptions) {}
 
-  static create(options: CrashWatchOptions): CrashWatch {
-    return new CrashWatch(options);
+  static create(options: CrashDetectorOptions): CrashDetector {
+    return new CrashDetector(options);
   }
 
   /**
    * The run was lost with its connection. Resolves once it is known whether the
-   * server's port is closed, before the request is run anywhere else.
+   * server's port is closed; the request must not be run elsewhere before that.
    */
   async onLost(runner: WatchedRunner, run: LostRun): Promise<void> {
     const lostAtMs = this.options.now();
     const known = this.pendingAt(runner.id);
     this.pending.set(runner.id, [...known, { ...run, lostAtMs }]);
-    const state = await this.look(runner);
+    const state = await this.probe(runner);
     if (state === "closed") this.onCrashed(runner.id);
     if (state === "open") this.pending.delete(runner.id);
   }
 
-  /** The server is named for the fault, has started again, or is gone. */
+  /** The server was reported as faulty, has restarted or is gone. */
   onCrashed(runner: string): void {
     const { suspects, emit, onEvidence } = this.options;
     const lost = this.pendingAt(runner);
     this.pending.delete(runner);
     if (lost.length === 0) return;
     for (const { digest, sentAtMs, lostAtMs } of lost) {
-      suspects.noteCrash(digest, { runner, sentAtMs, lostAtMs });
+      suspects.addOwnRun(digest, { runner, sentAtMs, lostAtMs });
     }
     const digests = [...new Set(lost.map(({ digest }) => digest))];
     const withheld = digests.filter((one) => suspects.isWithheld(one)).length;
@@ -83,21 +84,21 @@
   }
 
   private pendingAt(runner: string): readonly PendingRun[] {
-    const sinceMs = this.options.now() - PENDING_MS;
+    const sinceMs = this.options.now() - DETECTION_WINDOW_MS;
     const pending = this.pending.get(runner) ?? [];
     return pending.filter(({ lostAtMs }) => lostAtMs > sinceMs);
   }
 
-  /** One look for all runs that are lost there at the same time. */
-  private async look({ id, address }: WatchedRunner): Promise<PortState> {
-    const begun = this.looks.get(id);
-    if (begun !== undefined) return begun;
-    const look = this.options.portState(address);
-    this.looks.set(id, look);
+  /** Concurrent losses at one server share one probe. */
+  private async probe({ id, address }: WatchedRunner): Promise<PortState> {
+    const pending = this.probes.get(id);
+    if (pending !== undefined) return pending;
+    const probe = this.options.portState(address);
+    this.probes.set(id, probe);
     try {
-      return await look;
+      return await probe;
     } finally {
-      this.looks.delete(id);
+      this.probes.delete(id);
     }
   }
 }
--- a/src/suspects/request-digest.ts
+++ b/src/suspects/request-digest.ts
@@ -1,4 +1,4 @@
-/** Names a request by what makes it the same when it comes again. */
+/** Computes a digest that identifies a request when it is sent again. */
 import { createHmac } from "node:crypto";
 
 export interface RequestContent {
@@ -9,12 +9,12 @@
   readonly body: Buffer;
 }
 
-/** 128 bits: nobody's request is taken for another one's. */
+/** 128 bits make collisions between requests practically impossible. */
 const DIGEST_BYTES = 16;
 
 /**
- * The same at all entries, and nothing of the request can be read from it. Two
- * accounts that send the same have two digests.
+ * The digest is the same at all entries and reveals nothing of the request.
+ * Equal requests of two accounts have different digests.
  */
 export function digestOf(content: RequestContent): string {
   const { method, target, account, body } = content;
--- a/src/suspects/suspect-desk.ts
+++ b/src/suspects/suspect-desk.ts
@@ -1,22 +1,22 @@
 /**
- * All that one entry does about suspects: what it has seen, how it finds out
- * about crashes, and what it tells the other entries.
+ * Suspect handling of one entry: its own observations, crash detection and
+ * sharing with the other entries.
  */
 import type { Emit, Measurements, Now } from "../internal.js";
 import type { After } from "../membership/types.js";
 import type { KeyedRecord, KeyedWriter } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
-import { CrashWatch, type CrashWatchOptions } from "./crash-watch.js";
-import { SuspectNotes } from "./suspect-notes.js";
+import { CrashDetector, type CrashDetectorOptions } from "./crash-watch.js";
+import { SuspectSync } from "./suspect-notes.js";
 import { SuspectRequests } from "./suspect-requests.js";
 
 export interface SuspectDeskOptions {
-  /** Of this entry. */
+  /** Name of this entry. */
   readonly name: string;
   readonly notes: KeyedWriter;
   readonly findings: RecordFindings;
   readonly after: After;
-  readonly portState: CrashWatchOptions["portState"];
+  readonly portState: CrashDetectorOptions["portState"];
   /** Unix ms. */
   readonly now: Now;
   readonly emit: Emit;
@@ -25,23 +25,23 @@
 
 export class SuspectDesk {
   readonly requests: SuspectRequests;
-  readonly crashes: CrashWatch;
+  readonly crashes: CrashDetector;
   readonly now: Now;
-  private readonly notes: SuspectNotes;
+  private readonly sync: SuspectSync;
 
   private constructor(private readonly options: SuspectDeskOptions) {
     const { now, emit, portState } = options;
     this.now = now;
     this.requests = SuspectRequests.create(now);
-    this.notes = SuspectNotes.create({ ...options, suspects: this.requests });
-    this.crashes = CrashWatch.create({
+    this.sync = SuspectSync.create({ ...options, suspects: this.requests });
+    this.crashes = CrashDetector.create({
       now,
       emit,
       suspects: this.requests,
       portState,
       onEvidence: () => {
-        this.count();
-        this.notes.schedule();
+        this.updateGauge();
+        this.sync.schedulePublish();
       },
     });
   }
@@ -50,23 +50,23 @@
     return new SuspectDesk(options);
   }
 
-  /** `request`: attempt id of a caller whose request was a suspect. */
+  /** A suspect completed. `request`: attempt id of its caller. */
   onAcquitted(request: string): void {
     this.options.emit(232, { request });
-    this.notes.schedule();
+    this.sync.schedulePublish();
   }
 
-  /** Records of this entry and the others. */
+  /** Applies records of this entry and of the others. */
   take(records: readonly KeyedRecord[]): void {
-    this.notes.take(records);
-    this.count();
+    this.sync.apply(records);
+    this.updateGauge();
   }
 
   onStoreReturned(): void {
-    this.notes.onStoreReturned();
+    this.sync.onStoreRolledBack();
   }
 
-  private count(): void {
+  private updateGauge(): void {
     this.options.measurements.set("suspectRequests", this.requests.size);
   }
 }
--- a/src/suspects/suspect-notes.ts
+++ b/src/suspects/suspect-notes.ts
@@ -1,7 +1,7 @@
 /**
- * Shares suspects between entries: each writes what it has seen under its own
- * name into a topic that all follow. It works on with what it knows itself while
- * the store is away.
+ * Shares suspects between entries: each writes its own observations under its
+ * name to a topic that all of them follow. While the store is unavailable, an
+ * entry relies on its own observations.
  */
 import { z } from "zod";
 import { toFailure, type Emit } from "../internal.js";
@@ -9,42 +9,49 @@
 import { decodeJson } from "../platform/json-value.js";
 import type { KeyedRecord, KeyedWriter } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
-import { MOST_TOLD, type SuspectRequests } from "./suspect-requests.js";
+import { MAX_PUBLISHED, type SuspectRequests } from "./suspect-requests.js";
 import type { SuspectRecord } from "./types.js";
 
-/** The name under which findings on records are told. */
+/** Stream name under which unusable records are reported. */
 export const SUSPECTS_STREAM = "suspects";
 
-/** Suspects of one crash go into one record, ms. */
-const GATHER_MS = 20;
-/** Between two writes, ms. */
-const LEAST_INTERVAL_MS = 250;
-/** After a write that failed, ms. */
-const RETRY_MS = 1000;
-const LONGEST_NAME = 128;
-
-const digest = z.string().regex(/^[\w-]{1,64}$/);
-const unixMs = z.number().nonnegative();
-
-const run = z.object({
-  runner: z.string().max(LONGEST_NAME),
-  sentAtMs: unixMs,
-  lostAtMs: unixMs,
+/** Delay that collects all suspects of one crash in one record, ms. */
+const BATCH_DELAY_MS = 20;
+/** Minimum time between two writes, ms. */
+const MIN_PUBLISH_INTERVAL_MS = 250;
+/** Delay after a failed write, ms. */
+const RETRY_DELAY_MS = 1000;
+const MAX_RUNNER_ID_LENGTH = 128;
+
+const digestSchema = z.string().regex(/^[\w-]{1,64}$/);
+const unixMsSchema = z.number().nonnegative();
+
+const runSchema = z.object({
+  runner: z.string().max(MAX_RUNNER_ID_LENGTH),
+  sentAtMs: unixMsSchema,
+  lostAtMs: unixMsSchema,
 });
 
 const recordSchema = z.object({
   suspicions: z
-    .array(z.object({ digest, runs: z.array(run).max(MOST_TOLD) }))
-    .max(MOST_TOLD),
-  acquittals: z.array(z.object({ digest, atMs: unixMs })).max(MOST_TOLD),
+    .array(
+      z.object({
+        digest: digestSchema,
+        runs: z.array(runSchema).max(MAX_PUBLISHED),
+      }),
+    )
+    .max(MAX_PUBLISHED),
+  acquittals: z
+    .array(z.object({ digest: digestSchema, atMs: unixMsSchema }))
+    .max(MAX_PUBLISHED),
 });
 
 export function encodeSuspects(record: SuspectRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
 
-export interface SuspectNotesOptions {
-  /** Of this entry; its record's key. */
+export interface SuspectSyncOptions {
+  /** Name of this entry and key of its record. */
   readonly name: string;
   readonly suspects: SuspectRequests;
   readonly notes: KeyedWriter;
@@ -53,28 +60,28 @@
   readonly emit: Emit;
 }
 
-export class SuspectNotes {
-  private hasRead = false;
+export class SuspectSync {
+  private hasReadBefore = false;
   private isScheduled = false;
-  /** The last write failed. */
-  private isLost = false;
+  /** Whether the last write failed. */
+  private isPublishFailing = false;
 
-  private constructor(private readonly options: SuspectNotesOptions) {}
+  private constructor(private readonly options: SuspectSyncOptions) {}
 
-  static create(options: SuspectNotesOptions): SuspectNotes {
-    return new SuspectNotes(options);
+  static create(options: SuspectSyncOptions): SuspectSync {
+    return new SuspectSync(options);
   }
 
-  /** Doesn't throw: what can't be read is a finding. */
-  take(records: readonly KeyedRecord[]): void {
+  /** Doesn't throw: unreadable records are reported as findings. */
+  apply(records: readonly KeyedRecord[]): void {
     const { name, suspects, findings } = this.options;
-    const others = this.hasRead ? "live" : "start";
-    this.hasRead = true;
+    const otherSource = this.hasReadBefore ? "live" : "start";
+    this.hasReadBefore = true;
     for (const { key, value } of records) {
       if (value === undefined) continue;
       try {
-        const source = key === name ? "own" : others;
-        suspects.take(decodeJson(recordSchema, value), source);
+        const source = key === name ? "own" : otherSource;
+        suspects.merge(decodeJson(recordSchema, value), source);
       } catch (error) {
         const reason = toFailure(error, 1903).message;
         findings.note({ stream: SUSPECTS_STREAM, key, content: value, reason });
@@ -82,47 +89,51 @@
     }
   }
 
-  /** There is something new to tell, or the store has lost what was told. */
-  schedule(delayMs = GATHER_MS): void {
+  /**
+   * Schedules a write: there is new evidence, or the store has lost the last
+   * record.
+   */
+  schedulePublish(delayMs = BATCH_DELAY_MS): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
     this.options.after(delayMs, () => {
-      void this.write();
+      void this.publish();
     });
   }
 
-  /** The store came back from an older copy. */
-  onStoreReturned(): void {
-    const { suspicions } = this.options.suspects.record();
-    if (suspicions.length > 0) this.schedule();
+  /** The store was rolled back to an older copy. */
+  onStoreRolledBack(): void {
+    const { suspicions } = this.options.suspects.ownRecord();
+    if (suspicions.length > 0) this.schedulePublish();
   }
 
-  private async write(): Promise<void> {
+  private async publish(): Promise<void> {
     const { name, suspects, notes, emit, after } = this.options;
-    const record = suspects.record();
+    const record = suspects.ownRecord();
     try {
       await notes.put(name, encodeSuspects(record));
-      this.setLost(false);
-      after(LEAST_INTERVAL_MS, () => {
+      this.setPublishFailing(false);
+      after(MIN_PUBLISH_INTERVAL_MS, () => {
         this.isScheduled = false;
-        const isNewer = !isSame(record, suspects.record());
-        if (isNewer) this.schedule();
+        const isNewer = !isSameRecord(record, suspects.ownRecord());
+        if (isNewer) this.schedulePublish();
       });
     } catch (error) {
       const reason = toFailure(error, 1901).message;
-      if (!this.isLost) emit(191, { stream: SUSPECTS_STREAM, reason });
-      this.setLost(true);
+      if (!this.isPublishFailing)
+        emit(191, { stream: SUSPECTS_STREAM, reason });
+      this.setPublishFailing(true);
       this.isScheduled = false;
-      this.schedule(RETRY_MS);
+      this.schedulePublish(RETRY_DELAY_MS);
     }
   }
 
-  private setLost(isLost: boolean): void {
-    this.isLost = isLost;
-    this.options.suspects.setAlone(isLost);
+  private setPublishFailing(isFailing: boolean): void {
+    this.isPublishFailing = isFailing;
+    this.options.suspects.setIsolated(isFailing);
   }
 }
 
-function isSame(one: SuspectRecord, other: SuspectRecord): boolean {
+function isSameRecord(one: SuspectRecord, other: SuspectRecord): boolean {
   return encodeSuspects(one).equals(encodeSuspects(other));
 }
--- a/src/suspects/suspect-requests.ts
+++ b/src/suspects/suspect-requests.ts
@@ -1,19 +1,19 @@
 /**
  * Decides which requests are withheld because they crash backend servers.
  *
- * Whatever runs at a server when it crashes is a suspect. The guilty one tells
- * itself by crashing the next server as well; an innocent one by coming to its
- * end. Runs that overlap count once: when many servers fail at the same moment,
- * a request that is often sent runs at several of them.
+ * Every request that runs on a server when it crashes is a suspect. The cause
+ * shows by crashing the next server as well; a harmless request shows by
+ * completing. Overlapping runs count once: when many servers fail at the same
+ * moment, a request that is sent often runs on several of them.
  */
 import type { Now } from "../internal.js";
 import {
-  NO_CONVICTION,
-  convictionOf,
-  explainsBetter,
+  NO_EVIDENCE,
+  crashEvidenceOf,
+  isStrongerEvidence,
   successiveRuns,
-  type Conviction,
-} from "./conviction.js";
+  type CrashEvidence,
+} from "./crash-evidence.js";
 import type {
   Acquittal,
   CrashedRun,
@@ -22,36 +22,49 @@
 } from "./types.js";
 
 /**
- * One crash has many suspects, nearly all of them innocent, and each is lost to
- * its caller if it isn't run again. Hardly any is there at a second crash.
+ * Number of crashes after which a request is withheld. One crash has many
+ * suspects, nearly all of them harmless, and each fails for its caller unless
+ * it is run again. Hardly any of them is present at a second crash.
  */
 export const CRASHES_UNTIL_WITHHELD = 2;
 /**
- * The same while this entry is alone, for a request that came to its end here before,
- * or beside one that explains the crashes better. An end elsewhere, which would clear
- * it, isn't heard of then, and others go on to run what this entry withholds.
+ * The same while this entry is isolated, for a request that has completed here
+ * before or that is less likely the cause than another suspect. An isolated
+ * entry doesn't learn that a request completed elsewhere, which would clear it,
+ * and other entries still run what it withholds.
+ */
+export const CRASHES_UNTIL_WITHHELD_ISOLATED = 3;
+/** Number of completed requests that are remembered, the newest ones. */
+const MAX_COMPLETED = 2000;
+/** How long a suspect of one crash is remembered, ms. */
+export const SUSPECT_RETENTION_MS = 60_000;
+/** How long a request is withheld, ms; fixing its cause takes a release. */
+export const WITHHOLD_DURATION_MS = 3_600_000;
+/**
+ * Reports of crashes arrive within this time unless the reporting entry or this
+ * one was isolated, ms.
+ */
+const MAX_REPORT_AGE_MS = 5000;
+/** Reports of one crash by several entries differ by less than this, ms. */
+const SAME_CRASH_WINDOW_MS = 1000;
+/**
+ * Number of requests kept; beyond it, the one that changed longest ago and
+ * isn't withheld is dropped.
+ */
+export const MAX_SUSPECTS = 1000;
+/**
+ * Number of suspicions and of acquittals that an entry publishes, the newest
+ * ones; also the number of runs kept per request.
+ */
+export const MAX_PUBLISHED = 64;
+
+/**
+ * Origin of a record: this entry, another one read at the start, or a new one.
  */
-export const CRASHES_UNTIL_CERTAIN = 3;
-/** Requests remembered for having come to their end, the newest. */
-const MOST_ENDED = 2000;
-/** A suspect of one crash is forgotten after this time, ms. */
-export const SUSPECT_KEPT_MS = 60_000;
-/** A withheld request is, ms; what is wrong with it takes a release to mend. */
-export const WITHHELD_MS = 3_600_000;
-/** A crash is heard of by then, unless its entry or this one was cut off, ms. */
-const HEARD_WITHIN_MS = 5000;
-/** Crashes that several entries see differ by less than this, ms. */
-const SAME_CRASH_MS = 1000;
-/** Requests kept at once; beyond them the one seen longest ago is forgotten. */
-export const MOST_SUSPECTS = 1000;
-/** Newest suspicions and acquittals that an entry tells the others. */
-export const MOST_TOLD = 64;
-
-/** Whose record it is: this entry's, one found at the start, or a new one. */
 export type RecordSource = "own" | "start" | "live";
 
 interface KnownRun extends CrashedRun {
-  /** Seen by this entry, which tells the others. */
+  /** Seen by this entry, which publishes it. */
   readonly isOwn: boolean;
 }
 
@@ -61,18 +74,18 @@
   readonly isOwnAcquittal: boolean;
 }
 
-const UNKNOWN: Suspect = {
+const UNKNOWN_SUSPECT: Suspect = {
   runs: [],
   acquittedAtMs: Number.NEGATIVE_INFINITY,
   isOwnAcquittal: false,
 };
 
 export class SuspectRequests {
-  /** By digest, the one that changed last at the end. */
+  /** By digest, in order of the last change. */
   private readonly suspects = new Map<string, Suspect>();
-  /** Digests of requests that came to their end here, the newest last. */
-  private readonly ended = new Set<string>();
-  private isAlone = false;
+  /** Digests of requests that completed here, oldest first. */
+  private readonly completed = new Set<string>();
+  private isIsolated = false;
 
   private constructor(private readonly now: Now) {}
 
@@ -92,52 +105,58 @@
   isWithheld(digest: string): boolean {
     const crashes = this.crashesOf(digest);
     if (crashes < CRASHES_UNTIL_WITHHELD) return false;
-    const isCertain = !this.isAlone || crashes >= CRASHES_UNTIL_CERTAIN;
-    return isCertain || !(this.ended.has(digest) || this.isExplained(digest));
+    const isProven =
+      !this.isIsolated || crashes >= CRASHES_UNTIL_WITHHELD_ISOLATED;
+    return isProven || !(this.completed.has(digest) || this.isUnlikely(digest));
   }
 
-  /** Whether this entry can't tell the others what it sees, nor hear of it. */
-  setAlone(isAlone: boolean): void {
-    this.isAlone = isAlone;
+  /**
+   * Sets whether this entry can neither publish its observations nor receive
+   * others.
+   */
+  setIsolated(isIsolated: boolean): void {
+    this.isIsolated = isIsolated;
   }
 
-  /** Servers that the request has crashed, one after the other. */
+  /** Number of successive crashes that the request was lost in. */
   crashesOf(digest: string): number {
     const suspect = this.suspects.get(digest);
     if (suspect === undefined) return 0;
     const crashes = successiveRuns(suspect).length;
     const lostAtMs = suspect.runs.map((run) => run.lostAtMs);
     const lastMs = Math.max(suspect.acquittedAtMs, ...lostAtMs);
-    if (this.now() - lastMs < keptMsOf(suspect, crashes)) return crashes;
+    if (this.now() - lastMs < retentionMsOf(suspect, crashes)) return crashes;
     this.suspects.delete(digest);
     return 0;
   }
 
-  /** This entry has lost a run of the request to a crash. */
-  noteCrash(digest: string, run: CrashedRun): void {
+  /** This entry has lost a run of the request in a crash. */
+  addOwnRun(digest: string, run: CrashedRun): void {
     this.addRun(digest, { ...run, isOwn: true });
   }
 
-  /** It came to its end. False where that changes nothing. */
+  /** The request completed. Returns false if that changes nothing. */
   acquit(digest: string): boolean {
-    this.noteEnd(digest);
+    this.addCompletion(digest);
     if (!this.isSuspect(digest)) return false;
     this.addAcquittal({ digest, atMs: this.now() }, true);
     return true;
   }
 
   /**
-   * What another entry has seen, or this one before it started again. Of a crash
-   * that is heard of late nobody here knew meanwhile, so that no end of the request
-   * was told to the others: taken in, it would make guilty who was never asked. An
-   * entry that has just started takes all, since the others did know.
+   * Merges the observations of another entry, or of this one before a restart.
+   * A crash that is reported late wasn't known here in the meantime, so
+   * completions of the request weren't published; merging it would withhold a
+   * request without that check. An entry that has just started merges
+   * everything, since the others did know.
    */
-  take({ suspicions, acquittals }: SuspectRecord, source: RecordSource): void {
+  merge({ suspicions, acquittals }: SuspectRecord, source: RecordSource): void {
     const isOwn = source === "own";
-    const heardWithinMs = source === "live" ? HEARD_WITHIN_MS : WITHHELD_MS;
-    const sinceMs = this.now() - heardWithinMs;
+    const maxAgeMs =
+      source === "live" ? MAX_REPORT_AGE_MS : WITHHOLD_DURATION_MS;
+    const sinceMs = this.now() - maxAgeMs;
     for (const { digest, runs } of suspicions) {
-      for (const run of runs.map((one) => this.dated(one))) {
+      for (const run of runs.map((one) => this.clampToNow(one))) {
         if (run.lostAtMs >= sinceMs) this.addRun(digest, { ...run, isOwn });
       }
     }
@@ -147,71 +166,84 @@
     }
   }
 
-  /** What this entry tells the others. */
-  record(): SuspectRecord {
+  /** What this entry publishes. */
+  ownRecord(): SuspectRecord {
     const suspicions: Suspicion[] = [];
     const acquittals: Acquittal[] = [];
     for (const [digest, suspect] of this.suspects) {
-      const runs = suspect.runs.filter(({ isOwn }) => isOwn).map(withoutOwner);
+      const runs = suspect.runs.filter(({ isOwn }) => isOwn).map(toCrashedRun);
       if (runs.length > 0) suspicions.push({ digest, runs });
       const { isOwnAcquittal, acquittedAtMs: atMs } = suspect;
       if (isOwnAcquittal) acquittals.push({ digest, atMs });
     }
     return {
-      suspicions: suspicions.slice(-MOST_TOLD),
-      acquittals: acquittals.slice(-MOST_TOLD),
+      suspicions: suspicions.slice(-MAX_PUBLISHED),
+      acquittals: acquittals.slice(-MAX_PUBLISHED),
     };
   }
 
-  /** Another request explains the crashes better. */
-  private isExplained(digest: string): boolean {
-    const found = this.conviction(digest);
+  /** Whether another request is more likely the cause of the crashes. */
+  private isUnlikely(digest: string): boolean {
+    const own = this.evidence(digest);
     return [...this.suspects.keys()].some((other) =>
-      explainsBetter(this.conviction(other), found),
+      isStrongerEvidence(this.evidence(other), own),
     );
   }
 
-  /** Infinite where the request isn't found to crash servers. */
-  private conviction(digest: string): Conviction {
-    if (this.crashesOf(digest) < CRASHES_UNTIL_WITHHELD) return NO_CONVICTION;
-    const known = this.suspects.get(digest) ?? UNKNOWN;
-    return convictionOf(known, CRASHES_UNTIL_WITHHELD);
+  /**
+   * Infinite if the request hasn't reached the number of crashes that withholds
+   * it.
+   */
+  private evidence(digest: string): CrashEvidence {
+    if (this.crashesOf(digest) < CRASHES_UNTIL_WITHHELD) return NO_EVIDENCE;
+    const known = this.suspects.get(digest) ?? UNKNOWN_SUSPECT;
+    return crashEvidenceOf(known, CRASHES_UNTIL_WITHHELD);
   }
 
-  private noteEnd(digest: string): void {
-    this.ended.delete(digest);
-    this.ended.add(digest);
-    if (this.ended.size <= MOST_ENDED) return;
-    const [oldest] = this.ended;
-    this.ended.delete(oldest);
+  private addCompletion(digest: string): void {
+    this.completed.delete(digest);
+    this.completed.add(digest);
+    if (this.completed.size <= MAX_COMPLETED) return;
+    const [oldest] = this.completed;
+    this.completed.delete(oldest);
   }
 
-  /** A clock that is ahead must not keep a request withheld for longer. */
-  private dated(run: CrashedRun): CrashedRun {
+  /**
+   * A writer whose clock is ahead must not extend the time that a request is
+   * withheld.
+   */
+  private clampToNow(run: CrashedRun): CrashedRun {
     const lostAtMs = Math.min(run.lostAtMs, this.now());
     return { ...run, lostAtMs, sentAtMs: Math.min(run.sentAtMs, lostAtMs) };
   }
 
   private addRun(digest: string, run: KnownRun): void {
-    const known = this.suspects.get(digest) ?? UNKNOWN;
+    const known = this.suspects.get(digest) ?? UNKNOWN_SUSPECT;
     if (known.runs.some((one) => isSameRun(one, run))) return;
-    if (this.now() - run.lostAtMs >= WITHHELD_MS) return;
-    const runs = [...known.runs, run].slice(-MOST_TOLD);
-    this.keep(digest, { ...known, runs });
+    if (this.now() - run.lostAtMs >= WITHHOLD_DURATION_MS) return;
+    const runs = [...known.runs, run].slice(-MAX_PUBLISHED);
+    this.store(digest, { ...known, runs });
   }
 
-  /** Also one whose crash isn't known here yet: records come in any order. */
+  /**
+   * Also stores an acquittal whose crash isn't known here yet: records arrive
+   * in any order.
+   */
   private addAcquittal({ digest, atMs }: Acquittal, isOwn: boolean): void {
-    const known = this.suspects.get(digest) ?? UNKNOWN;
+    const known = this.suspects.get(digest) ?? UNKNOWN_SUSPECT;
     if (known.acquittedAtMs >= atMs) return;
-    if (this.now() - atMs >= WITHHELD_MS) return;
-    this.keep(digest, { ...known, acquittedAtMs: atMs, isOwnAcquittal: isOwn });
+    if (this.now() - atMs >= WITHHOLD_DURATION_MS) return;
+    this.store(digest, {
+      ...known,
+      acquittedAtMs: atMs,
+      isOwnAcquittal: isOwn,
+    });
   }
 
-  private keep(digest: string, suspect: Suspect): void {
+  private store(digest: string, suspect: Suspect): void {
     this.suspects.delete(digest);
     this.suspects.set(digest, suspect);
-    if (this.suspects.size <= MOST_SUSPECTS) return;
+    if (this.suspects.size <= MAX_SUSPECTS) return;
     const oldest = [...this.suspects.keys()].find(
       (one) => !this.isWithheld(one),
     );
@@ -220,20 +252,22 @@
 }
 
 /**
- * An acquittal stays as long as the runs that it is about may be read from the
- * record of an entry that hasn't written since.
+ * An acquittal is kept for as long as the runs it refers to may still be read
+ * from the record of an entry that hasn't written since.
  */
-function keptMsOf({ acquittedAtMs }: Suspect, crashes: number): number {
+function retentionMsOf({ acquittedAtMs }: Suspect, crashes: number): number {
   const isAcquitted = Number.isFinite(acquittedAtMs);
   const isWithheld = crashes >= CRASHES_UNTIL_WITHHELD;
-  return isAcquitted || isWithheld ? WITHHELD_MS : SUSPECT_KEPT_MS;
+  return isAcquitted || isWithheld
+    ? WITHHOLD_DURATION_MS
+    : SUSPECT_RETENTION_MS;
 }
 
 function isSameRun(one: CrashedRun, other: CrashedRun): boolean {
   const apartMs = Math.abs(one.lostAtMs - other.lostAtMs);
-  return one.runner === other.runner && apartMs < SAME_CRASH_MS;
+  return one.runner === other.runner && apartMs < SAME_CRASH_WINDOW_MS;
 }
 
-function withoutOwner({ runner, sentAtMs, lostAtMs }: KnownRun): CrashedRun {
+function toCrashedRun({ runner, sentAtMs, lostAtMs }: KnownRun): CrashedRun {
   return { runner, sentAtMs, lostAtMs };
 }
--- a/src/suspects/types.ts
+++ b/src/suspects/types.ts
@@ -1,33 +1,36 @@
 /**
- * Types of suspects: requests that may be what crashes backend servers. A
- * request that crashes whoever runs it comes again, at any entry, and takes one
- * server after the other, with everything else that runs there.
+ * Types of suspects: requests that may crash backend servers. A request that
+ * crashes every server it runs on is retried at any entry and takes down one
+ * server after the other, with all other requests that run there.
  */
 
-/** A run that the crash of its backend server ended. */
+/** A run that was lost in a crash of its backend server. */
 export interface CrashedRun {
   /** Id of the backend server. */
   readonly runner: string;
-  /** When the run was sent, and when it was lost, Unix ms. */
+  /** When the run was sent and when it was lost, Unix ms. */
   readonly sentAtMs: number;
   readonly lostAtMs: number;
 }
 
-/** Runs of one request that crashes ended. */
+/** Runs of one request that were lost in crashes. */
 export interface Suspicion {
   /** Digest of the request. */
   readonly digest: string;
   readonly runs: readonly CrashedRun[];
 }
 
-/** The request came to its end at a backend server. */
+/**
+ * The request completed on a backend server, so earlier crashes aren't
+ * attributed to it.
+ */
 export interface Acquittal {
   readonly digest: string;
   /** Unix ms. */
   readonly atMs: number;
 }
 
-/** What one entry has seen. */
+/** Observations of one entry. */
 export interface SuspectRecord {
   readonly suspicions: readonly Suspicion[];
   readonly acquittals: readonly Acquittal[];
--- a/tests/membership/register-reader.test.ts
+++ b/tests/membership/register-reader.test.ts
@@ -9,7 +9,7 @@
 import { describe, it } from "../support/describe.js";
 import { foreignRecords } from "../support/foreign-records.js";
 
-const good = {
+const validRecord = {
   backend: "service",
   address: "10.0.0.1:80",
   zone: "here",
@@ -20,19 +20,19 @@
   sequence: 4,
 };
 
-function recordOf(key: string, value: unknown): KeyedRecord {
+function createRecord(key: string, value: unknown): KeyedRecord {
   return { key, value: Buffer.from(JSON.stringify(value)) };
 }
 
-class Reading {
-  readonly lines: EventFields[] = [];
+class ReaderFixture {
+  readonly findings: EventFields[] = [];
   private readonly reader = RegisterReader.create({
     decode: decodeRegistration,
     findings: RecordFindings.create({
       measurements: ignoreMeasurements,
       emit: (number, fields = {}) => {
         assert.is(number, 193);
-        this.lines.push(fields);
+        this.findings.push(fields);
       },
     }),
   });
@@ -43,62 +43,62 @@
 }
 
 describe("reader of the register", () => {
-  it("takes ready and draining runners, whatever else they say", () => {
-    const reading = new Reading();
+  it("decodes ready and draining runners and ignores other fields", () => {
+    const fixture = new ReaderFixture();
     const models = [{ name: 7 }, "odd"];
-    const [ready, leaving, gone] = reading.read(
-      recordOf("i-1", { ...good, phase: 3, models, group: null }),
-      recordOf("i-2", { ...good, state: "draining" }),
+    const [ready, leaving, gone] = fixture.read(
+      createRecord("i-1", { ...validRecord, phase: 3, models, group: null }),
+      createRecord("i-2", { ...validRecord, state: "draining" }),
       { key: "i-3", value: undefined },
     );
     assert.is(ready.server?.isLeaving, false);
     assert.is(leaving.server?.isLeaving, true);
     assert.equal(gone, { id: "i-3", server: undefined });
-    assert.equal(reading.lines, []);
+    assert.equal(fixture.findings, []);
   });
 
-  for (const { kind, key, value } of foreignRecords(good)) {
-    it(`leaves out ${kind}, and nothing beside it`, () => {
-      const reading = new Reading();
-      const changes = reading.read(
-        recordOf("i-1", good),
+  for (const { kind, key, value } of foreignRecords(validRecord)) {
+    it(`skips ${kind}, and no other record`, () => {
+      const fixture = new ReaderFixture();
+      const changes = fixture.read(
+        createRecord("i-1", validRecord),
         { key, value },
-        recordOf("i-2", good),
+        createRecord("i-2", validRecord),
       );
       const ids = changes.map(({ server }) => server?.id);
       assert.equal(ids, ["i-1", undefined, "i-2"]);
       assert.is(changes[1].isUnusable, true);
       assert.is(changes[1].id, key);
-      assert.is(reading.lines.length, 1);
+      assert.is(fixture.findings.length, 1);
     });
   }
 
-  it("tells a record once for each content", () => {
-    const reading = new Reading();
-    const bad = recordOf("i-1", { ...good, slots: "8" });
-    reading.read(bad, bad);
-    reading.read(bad);
-    assert.is(reading.lines.length, 1);
-    reading.read(recordOf("i-1", { ...good, slots: null }));
-    reading.read(recordOf("i-2", { ...good, slots: "8" }));
-    assert.is(reading.lines.length, 3);
+  it("reports a record once for each content", () => {
+    const fixture = new ReaderFixture();
+    const invalid = createRecord("i-1", { ...validRecord, slots: "8" });
+    fixture.read(invalid, invalid);
+    fixture.read(invalid);
+    assert.is(fixture.findings.length, 1);
+    fixture.read(createRecord("i-1", { ...validRecord, slots: null }));
+    fixture.read(createRecord("i-2", { ...validRecord, slots: "8" }));
+    assert.is(fixture.findings.length, 3);
   });
 
-  it("keeps its lines short, however long what it read", () => {
-    const reading = new Reading();
-    reading.read({
+  it("keeps its findings short for long records", () => {
+    const fixture = new ReaderFixture();
+    fixture.read({
       key: "k".repeat(100_000),
       value: Buffer.from("x".repeat(100_000)),
     });
-    const [line] = reading.lines;
-    assert.ok(JSON.stringify(line).length < 600);
+    const [finding] = fixture.findings;
+    assert.ok(JSON.stringify(finding).length < 600);
   });
 });
 
-describe("addresses from elsewhere", () => {
-  it("are host and port, and can be connected to", () => {
-    const usable = ["10.0.0.1:1", "name:65535", "a_b.c-d.e:80", "[::1]:80"];
-    const others = [
+describe("addresses from external sources", () => {
+  it("are accepted only as a host:port that can be connected to", () => {
+    const valid = ["10.0.0.1:1", "name:65535", "a_b.c-d.e:80", "[::1]:80"];
+    const invalid = [
       "10.0.0.1",
       "10.0.0.1:0",
       "10.0.0.1:65536",
@@ -116,8 +116,8 @@
       `${"a".repeat(300)}:80`,
     ];
     assert.equal(
-      [...usable, ...others].filter((text) => isHostPort(text)),
-      usable,
+      [...valid, ...invalid].filter((text) => isHostPort(text)),
+      valid,
     );
   });
 });
--- a/tests/membership/runner-groups.test.ts
+++ b/tests/membership/runner-groups.test.ts
@@ -35,7 +35,7 @@
     assert.equal(read(undefined), []);
   });
 
-  it("are left as they are by a note that can't be read", () => {
+  it("aren't changed by a note that can't be read", () => {
     const numbers: number[] = [];
     const emit: Emit = (number) => {
       numbers.push(number);
@@ -46,7 +46,8 @@
   });
 
   it("are those of the last note, also for a runner that changed its group", () => {
-    // A runner that keeps its old group's name gets work by another group's pace.
+    // A runner that keeps its old group's name would get requests by the pace
+    // of the wrong group.
     const groups = RunnerGroups.create();
     groups.take(OTHER);
     assert.ok(groups.take(FIRST));
@@ -57,9 +58,10 @@
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
   });
 
-  it("aren't told apart in a service that has one", () => {
-    // A rank that came back at another address would count as a group of its own
-    // until its planner names it, and callers wouldn't wait for the group to open.
+  it("aren't distinguished in a service that has only one", () => {
+    // A rank that came back at another address would count as a separate group
+    // until its planner names it, and callers wouldn't wait for the group to be
+    // available.
     const groups = RunnerGroups.create();
     groups.take(FIRST);
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
@@ -69,7 +71,7 @@
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
   });
 
-  it("have formed anew only with another epoch", () => {
+  it("have been formed again only if the epoch differs", () => {
     const groups = RunnerGroups.create();
     groups.take(FIRST);
     assert.not.ok(groups.take(FIRST));
--- a/tests/membership/slow-runners.test.ts
+++ b/tests/membership/slow-runners.test.ts
@@ -11,7 +11,7 @@
 
 const ADDRESS = "10.0.0.1:1";
 
-function noted(slowness: number): {
+function createRunners(slowness: number): {
   runners: SlowRunners;
   at: (ms: number) => void;
 } {
@@ -26,17 +26,17 @@
 
 describe("slow runners", () => {
   it("are known by their notes", () => {
-    const { runners } = noted(5);
+    const { runners } = createRunners(5);
     assert.ok(runners.isSlow(ADDRESS, undefined));
     assert.not.ok(runners.isSlow("10.0.0.2:1", undefined));
     runners.take({ address: ADDRESS, slowness: 1, startedAtMs: undefined });
     assert.not.ok(runners.isSlow(ADDRESS, undefined));
   });
 
-  it("count as sound again when nobody renews the note", () => {
-    // The planner that wrote it is gone, and with it whoever would say that the
-    // rank has recovered. Left out for good, the group would lack a rank's room.
-    const { runners, at } = noted(5);
+  it("count as recovered when nobody renews the note", () => {
+    // The planner that wrote the note is gone, so nobody reports that the rank
+    // has recovered. Excluded forever, its capacity would be lost to the group.
+    const { runners, at } = createRunners(5);
     at(NOTE_LASTS_MS - 1);
     assert.ok(runners.isSlow(ADDRESS, undefined));
     at(NOTE_LASTS_MS);
@@ -50,7 +50,7 @@
     assert.is(decodePaceNote({ key: ADDRESS, value: undefined }), undefined);
   });
 
-  describe("that have started again", () => {
+  describe("that have restarted", () => {
     const FIRST = 1_790_000_000_000;
     const SECOND = FIRST + 5000;
 
@@ -62,17 +62,18 @@
       runners.take({ address: ADDRESS, slowness, startedAtMs });
     }
 
-    it("aren't slow by a note of the earlier life", () => {
-      // A rank was slow because its VM was; it has started again and is sound.
-      // The note counts for seconds more, and nothing would be sent there.
-      const { runners } = noted(1);
+    it("aren't slow by a note of the earlier incarnation", () => {
+      // A rank was slow because of its VM and works normally after its restart.
+      // The note still applies for seconds, in which the rank would get no
+      // requests.
+      const { runners } = createRunners(1);
       take(runners, 5, FIRST);
       assert.ok(runners.isSlow(ADDRESS, FIRST));
       assert.not.ok(runners.isSlow(ADDRESS, SECOND));
     });
 
-    it("aren't changed by a late note of the earlier life", () => {
-      const { runners } = noted(1);
+    it("aren't changed by a late note of the earlier incarnation", () => {
+      const { runners } = createRunners(1);
       take(runners, 5, SECOND);
       take(runners, 1, FIRST);
       assert.ok(runners.isSlow(ADDRESS, SECOND));
@@ -81,22 +82,22 @@
       assert.not.ok(runners.isSlow(ADDRESS, SECOND));
     });
 
-    it("lose a note that doesn't tell lives apart with the earlier life", () => {
-      const { runners } = noted(5);
+    it("lose a note without a start time when the earlier incarnation ends", () => {
+      const { runners } = createRunners(5);
       const server = { address: ADDRESS, startedAtMs: FIRST };
       assert.ok(runners.isSlow(ADDRESS, FIRST));
       runners.forget(server);
       assert.not.ok(runners.isSlow(ADDRESS, SECOND));
     });
 
-    it("keep a note of the later life that came before its registration", () => {
-      const { runners } = noted(1);
+    it("keep a note of the later incarnation that was read before its registration", () => {
+      const { runners } = createRunners(1);
       take(runners, 5, SECOND);
       runners.forget({ address: ADDRESS, startedAtMs: FIRST });
       assert.ok(runners.isSlow(ADDRESS, SECOND));
     });
 
-    it("are named in notes as older writers and readers know them", () => {
+    it("are encoded so that older writers and readers stay compatible", () => {
       const value = Buffer.from(JSON.stringify({ slowness: 2 }));
       const old = { address: ADDRESS, slowness: 2, startedAtMs: undefined };
       assert.equal(decodePaceNote({ key: ADDRESS, value }), old);
--- a/tests/orders/sockets.test.ts
+++ b/tests/orders/order-task-sockets.test.ts
@@ -17,17 +17,17 @@
 const GROUP = "pool";
 const EFFECT_MS = 300;
 
-interface Site {
+interface EngineFixture {
   readonly engine: EngineInterface;
-  /** Appends a record of the stream; returns its offset. */
+  /** Appends a record to the stream; returns its offset. */
   readonly append: (record: unknown) => Promise<number>;
-  /** Why the agent waited before it gave orders. */
+  /** Reasons for which the agent delayed orders. */
   readonly waits: () => readonly unknown[];
 }
 
-async function withSite(
+async function withEngine(
   checksFencing: boolean,
-  body: (site: Site) => Promise<void>,
+  body: (site: EngineFixture) => Promise<void>,
 ): Promise<void> {
   await using log = await startLog();
   const client = LogClient.create(log.address);
@@ -93,12 +93,12 @@
 
 for (const checksFencing of [true, false]) {
   const kind = checksFencing ? "checks" : "ignores";
-  describe(`orders over real sockets, engine that ${kind} numbers`, () => {
-    // A holder is paused past the end of its lease. Another acquires it and
-    // has a model loaded. The first wakes up and orders the old model; the
+  describe(`orders over real sockets, engine that ${kind} fencing tokens`, () => {
+    // A holder is paused past the end of its lease. Another acquires it and has
+    // a model loaded. The first one resumes and orders the old model; the
     // engine must keep the new one.
-    it("leaves the engine with the later holder's order", async () => {
-      await withSite(checksFencing, async ({ engine, append }) => {
+    it("keeps the later holder's order in the engine", async () => {
+      await withEngine(checksFencing, async ({ engine, append }) => {
         const first = await append(acquire("first", -1));
         await append(load("first", first, "old"));
         const second = await append(acquire("second", first));
@@ -114,10 +114,10 @@
       });
     });
 
-    // The engine carries the order out and its answer is lost. The agent can't
-    // know; it learns from the state, and the order isn't lost or undone.
-    it("learns from the state what a lost answer didn't tell", async () => {
-      await withSite(checksFencing, async ({ engine, append, waits }) => {
+    // The engine applies the order but its response is lost. The agent reads
+    // the engine's state, so the order is neither lost nor reverted.
+    it("reads the engine's state after a lost response", async () => {
+      await withEngine(checksFencing, async ({ engine, append, waits }) => {
         const lease = await append(acquire("first", -1));
         engine.faults.lostAnswers = 1;
         await append(load("first", lease, "model"));
--- /dev/null
+++ b/tests/suspects/crash-detector.test.ts
@@ -0,0 +1,77 @@
+import * as assert from "uvu/assert";
+import { ignoreEvents } from "../../src/internal.js";
+import {
+  CrashDetector,
+  DETECTION_WINDOW_MS,
+  type PortState,
+} from "../../src/suspects/crash-watch.js";
+import { SuspectRequests } from "../../src/suspects/suspect-requests.js";
+import { describe, it } from "../support/describe.js";
+
+const RUNNER = { id: "r1", address: "10.0.0.1:1" };
+
+class DetectorFixture {
+  nowMs = 1_790_000_000_000;
+  port: PortState = "closed";
+  probes = 0;
+  evidenceCalls = 0;
+  readonly suspects = SuspectRequests.create(() => this.nowMs);
+  readonly detector = CrashDetector.create({
+    now: () => this.nowMs,
+    emit: ignoreEvents,
+    suspects: this.suspects,
+    portState: () => {
+      this.probes += 1;
+      return Promise.resolve(this.port);
+    },
+    onEvidence: () => {
+      this.evidenceCalls += 1;
+    },
+  });
+
+  loseRun(digest: string): Promise<void> {
+    return this.detector.onLost(RUNNER, { digest, sentAtMs: this.nowMs - 10 });
+  }
+}
+
+describe("a run that was lost with its connection", () => {
+  it("makes a suspect where the server's port is closed", async () => {
+    const fixture = new DetectorFixture();
+    await Promise.all([fixture.loseRun("one"), fixture.loseRun("other")]);
+    assert.ok(
+      fixture.suspects.isSuspect("one") && fixture.suspects.isSuspect("other"),
+    );
+    assert.equal([fixture.probes, fixture.evidenceCalls], [1, 1]);
+  });
+
+  it("makes none where the server is alive", async () => {
+    // The connection was reset on the way, or broke with its group.
+    const fixture = new DetectorFixture();
+    fixture.port = "open";
+    await fixture.loseRun("one");
+    fixture.detector.onCrashed(RUNNER.id);
+    assert.not.ok(fixture.suspects.isSuspect("one"));
+  });
+
+  it("makes one when a refusal names the server or it restarts", async () => {
+    // The VM is unreachable, so nothing shows at once that the server is gone.
+    const fixture = new DetectorFixture();
+    fixture.port = "silent";
+    await fixture.loseRun("one");
+    assert.not.ok(fixture.suspects.isSuspect("one"));
+    fixture.detector.onCrashed("r2");
+    assert.not.ok(fixture.suspects.isSuspect("one"));
+    fixture.detector.onCrashed(RUNNER.id);
+    assert.ok(fixture.suspects.isSuspect("one"));
+  });
+
+  it("makes none for what happens to the server much later", async () => {
+    const fixture = new DetectorFixture();
+    fixture.port = "silent";
+    await fixture.loseRun("one");
+    fixture.nowMs += DETECTION_WINDOW_MS;
+    fixture.detector.onCrashed(RUNNER.id);
+    assert.not.ok(fixture.suspects.isSuspect("one"));
+    assert.is(fixture.evidenceCalls, 0);
+  });
+});
--- a/tests/suspects/crash-load.test.ts
+++ b/tests/suspects/crash-load.test.ts
@@ -1,27 +1,27 @@
 import * as assert from "uvu/assert";
 import { describe, it } from "../support/describe.js";
 import {
-  CrashWorld,
+  CrashSimulation,
   type CrashOutcome,
-  type CrashWorldOptions,
-} from "./crash-world.js";
+  type CrashSimulationOptions,
+} from "./crash-simulation.js";
 
 const SEEDS = 10;
 const MORE_SEEDS = 50;
-/** Aim: a request that crashes its servers takes two of them. */
-const AIMED_CRASHES = 2;
-/** The platform's bound on runs once entries have heard of the third crash. */
-const MOST_LATE_RUNS = 3;
+/** Intended number of servers that a crashing request takes down. */
+const TARGET_CRASHES = 2;
+/** The platform's limit on runs after entries have received the third crash. */
+const MAX_LATE_RUNS = 3;
 const ENTRIES = 6;
 
-const USUAL: Omit<CrashWorldOptions, "seed"> = {
+const DEFAULT_OPTIONS: Omit<CrashSimulationOptions, "seed"> = {
   copies: 1,
-  storeAwayUntilMs: 0,
+  storeDownUntilMs: 0,
   entriesRestartAtMs: undefined,
 };
 
-async function playAll(
-  options: Partial<CrashWorldOptions>,
+async function runAll(
+  options: Partial<CrashSimulationOptions>,
   seeds: { readonly from: number; readonly count: number } = {
     from: 1,
     count: SEEDS,
@@ -29,65 +29,74 @@
 ): Promise<readonly CrashOutcome[]> {
   const outcomes: CrashOutcome[] = [];
   for (let seed = seeds.from; seed < seeds.from + seeds.count; seed += 1) {
-    const world = CrashWorld.create({ ...USUAL, ...options, seed });
-    outcomes.push(await world.play());
+    const simulation = CrashSimulation.create({
+      ...DEFAULT_OPTIONS,
+      ...options,
+      seed,
+    });
+    outcomes.push(await simulation.run());
   }
   return outcomes;
 }
 
-function mostOf(
+function maximumOf(
   outcomes: readonly CrashOutcome[],
   field: keyof CrashOutcome,
 ): number {
   return Math.max(...outcomes.map((outcome) => outcome[field]));
 }
 
-/** One in 500, as for any refusal that callers don't deserve. */
-function assertInnocentsServed(outcomes: readonly CrashOutcome[]): void {
-  for (const { innocents, innocentsWithheld } of outcomes) {
-    assert.ok(innocents > 10_000);
-    assert.ok(innocentsWithheld <= innocents / 500, `${innocentsWithheld}`);
+/** At most one in 500 is refused, the limit for all undeserved refusals. */
+function assertHarmlessServed(outcomes: readonly CrashOutcome[]): void {
+  for (const { harmlessRequests, harmlessWithheld } of outcomes) {
+    assert.ok(harmlessRequests > 10_000);
+    assert.ok(
+      harmlessWithheld <= harmlessRequests / 500,
+      `${harmlessWithheld}`,
+    );
   }
 }
 
 describe("a request that crashes ranks, among thousands that don't", () => {
   it("takes two ranks, and no other caller is refused for it", async () => {
-    // Ranks crash of other causes as well, and popular requests are lost in
+    // Ranks also crash for other reasons, and popular requests are lost in
     // several of those crashes.
-    const outcomes = await playAll({});
-    assert.ok(mostOf(outcomes, "crashes") <= AIMED_CRASHES);
-    assertInnocentsServed(outcomes);
+    const outcomes = await runAll({});
+    assert.ok(maximumOf(outcomes, "crashes") <= TARGET_CRASHES);
+    assertHarmlessServed(outcomes);
   });
 
   it("takes no more after all entries have started again", async () => {
-    const outcomes = await playAll({ entriesRestartAtMs: 20_000 });
-    assert.ok(mostOf(outcomes, "crashes") <= AIMED_CRASHES);
-    assertInnocentsServed(outcomes);
+    const outcomes = await runAll({ entriesRestartAtMs: 20_000 });
+    assert.ok(maximumOf(outcomes, "crashes") <= TARGET_CRASHES);
+    assertHarmlessServed(outcomes);
   });
 
   it("reaches hardly a rank past the third crash when two come at once", async () => {
-    // Both are on their way before either has crashed anything.
-    const outcomes = await playAll({ copies: 2 });
-    assert.ok(mostOf(outcomes, "crashes") <= 2 * AIMED_CRASHES);
-    assert.ok(mostOf(outcomes, "lateRuns") <= MOST_LATE_RUNS);
-    assertInnocentsServed(outcomes);
+    // Both are sent before either has crashed a server.
+    const outcomes = await runAll({ copies: 2 });
+    assert.ok(maximumOf(outcomes, "crashes") <= 2 * TARGET_CRASHES);
+    assert.ok(maximumOf(outcomes, "lateRuns") <= MAX_LATE_RUNS);
+    assertHarmlessServed(outcomes);
   });
 
   it("takes two ranks for each entry while the store is away", async () => {
-    // Each entry learns for itself, and hears of no request that others have
-    // brought to its end; the bound holds for those that reach the store.
-    const outcomes = await playAll({ storeAwayUntilMs: 30_000 });
-    const bound = AIMED_CRASHES * ENTRIES;
-    assert.ok(mostOf(outcomes, "crashes") <= bound);
-    assertInnocentsServed(outcomes);
+    // Each entry relies on its own observations and doesn't learn which
+    // requests completed at others; the limit applies to entries that reach the
+    // store.
+    const outcomes = await runAll({ storeDownUntilMs: 30_000 });
+    const bound = TARGET_CRASHES * ENTRIES;
+    assert.ok(maximumOf(outcomes, "crashes") <= bound);
+    assertHarmlessServed(outcomes);
   });
 
   it("takes no more on fifty further seeds while the store is away", async () => {
-    // A lone entry can only guess which of several suspects is guilty.
+    // An isolated entry can only guess which of several suspects causes the
+    // crashes.
     const seeds = { from: SEEDS + 1, count: MORE_SEEDS };
-    const outcomes = await playAll({ storeAwayUntilMs: 30_000 }, seeds);
-    const bound = AIMED_CRASHES * ENTRIES;
-    assert.ok(mostOf(outcomes, "crashes") <= bound);
-    assertInnocentsServed(outcomes);
+    const outcomes = await runAll({ storeDownUntilMs: 30_000 }, seeds);
+    const bound = TARGET_CRASHES * ENTRIES;
+    assert.ok(maximumOf(outcomes, "crashes") <= bound);
+    assertHarmlessServed(outcomes);
   });
 });
--- a/tests/suspects/crash-world.ts
+++ b/tests/suspects/crash-simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Groups of ranks behind several entries, in virtual time: one request crashes
- * each rank that begins to run it and comes again at any entry, among many that
- * harm nobody; ranks crash of other causes beside it.
+ * Simulates groups of ranks behind several entries in virtual time. One request
+ * crashes each rank that runs it and is retried at any entry, among many
+ * harmless ones; ranks also crash for other reasons.
  */
 import { VirtualTime } from "../../fuzz/virtual-time.js";
 import {
@@ -14,48 +14,50 @@
 } from "../../src/internal.js";
 import type { KeyedRecord } from "../../src/platform/keyed-topic.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
-import { CrashWatch } from "../../src/suspects/crash-watch.js";
-import { SuspectNotes } from "../../src/suspects/suspect-notes.js";
+import { CrashDetector } from "../../src/suspects/crash-watch.js";
+import { SuspectSync } from "../../src/suspects/suspect-notes.js";
 import { SuspectRequests } from "../../src/suspects/suspect-requests.js";
 
-export interface CrashWorldOptions {
+export interface CrashSimulationOptions {
   readonly seed: number;
-  /** How many of the request that crashes come at the same moment. */
+  /**
+   * Number of copies of the crashing request that are sent at the same moment.
+   */
   readonly copies: number;
-  /** The store can't be written or read until then, ms. */
-  readonly storeAwayUntilMs: number;
-  /** All entries start again then, ms. */
+  /** The store can't be written until then, ms. */
+  readonly storeDownUntilMs: number;
+  /** When all entries restart, ms. */
   readonly entriesRestartAtMs: number | undefined;
 }
 
-/** What callers and backend servers got. */
+/** Results for callers and backend servers. */
 export interface CrashOutcome {
-  /** Ranks that the request crashed. */
+  /** Number of ranks that the request crashed. */
   readonly crashes: number;
-  /** Runs of it that were begun later than the settling time after the third. */
+  /** Runs of it that started later than `SETTLING_MS` after the third crash. */
   readonly lateRuns: number;
-  readonly innocents: number;
-  /** Innocent requests that were refused as suspects. */
-  readonly innocentsWithheld: number;
+  readonly harmlessRequests: number;
+  /** Harmless requests that were refused as suspects. */
+  readonly harmlessWithheld: number;
 }
 
 const ENTRIES = 6;
 const GROUPS = 3;
-const RANKS = 16;
-const LENGTH_MS = 60_000;
+const RANKS_PER_GROUP = 16;
+const DURATION_MS = 60_000;
 const STEP_MS = 50;
 const SETTLING_MS = 3000;
-/** A crashed rank is back, and its group formed anew, after this time. */
+/** Time until a crashed rank is back and its group has formed again, ms. */
 const DOWN_MS = 3000;
 const STORE_DELAY_MS = 20;
-const GUILTY = "guilty";
-const GUILTY_EVERY_MS = 400;
-const INNOCENTS_EACH_STEP = 10;
-/** Different requests among the innocents: the popular ones come often. */
-const INNOCENT_KINDS = 200;
-const LONGEST_RUN_MS = 2000;
-/** Share of steps in which a rank crashes of another cause. */
-const OTHER_CRASHES = 0.01;
+const CRASHING = "crashing";
+const CRASHING_INTERVAL_MS = 400;
+const HARMLESS_PER_STEP = 10;
+/** Number of different harmless requests; the popular ones are sent often. */
+const HARMLESS_KINDS = 200;
+const MAX_RUN_MS = 2000;
+/** Probability per step that a rank crashes for another reason. */
+const OTHER_CRASH_PROBABILITY = 0.01;
 
 interface Rank {
   readonly id: string;
@@ -73,75 +75,76 @@
 
 interface Entry {
   readonly suspects: SuspectRequests;
-  readonly watch: CrashWatch;
-  readonly notes: SuspectNotes;
-  isOver: boolean;
+  readonly detector: CrashDetector;
+  readonly sync: SuspectSync;
+  isStopped: boolean;
 }
 
-export class CrashWorld {
+export class CrashSimulation {
   private readonly time = VirtualTime.create(1_790_000_000_000);
   private readonly startMs = this.time.nowMs;
   private readonly random: Random;
   private readonly ranks: readonly Rank[];
   private entries: readonly Entry[];
   private runs: Run[] = [];
-  /** Newest record of each entry. */
+  /** Latest record of each entry. */
   private readonly records = new Map<string, KeyedRecord>();
   private readonly crashTimes: number[] = [];
   private lateRuns = 0;
-  private innocents = 0;
-  private innocentsWithheld = 0;
+  private harmlessRequests = 0;
+  private harmlessWithheld = 0;
 
-  private constructor(private readonly options: CrashWorldOptions) {
+  private constructor(private readonly options: CrashSimulationOptions) {
     this.random = createRandom(options.seed);
-    this.ranks = Array.from({ length: GROUPS * RANKS }, (_, at) => ({
+    this.ranks = Array.from({ length: GROUPS * RANKS_PER_GROUP }, (_, at) => ({
       id: `r${at}`,
-      group: Math.floor(at / RANKS),
+      group: Math.floor(at / RANKS_PER_GROUP),
       downUntilMs: 0,
     }));
     this.entries = this.startEntries();
   }
 
-  static create(options: CrashWorldOptions): CrashWorld {
-    return new CrashWorld(options);
+  static create(options: CrashSimulationOptions): CrashSimulation {
+    return new CrashSimulation(options);
   }
 
-  async play(): Promise<CrashOutcome> {
+  async run(): Promise<CrashOutcome> {
     const { entriesRestartAtMs, copies } = this.options;
-    for (let passedMs = 0; passedMs < LENGTH_MS; passedMs += STEP_MS) {
+    for (let passedMs = 0; passedMs < DURATION_MS; passedMs += STEP_MS) {
       if (passedMs === entriesRestartAtMs) this.restartEntries();
-      for (let count = 0; count < INNOCENTS_EACH_STEP; count += 1) {
-        // The lower its number, the more often a request comes.
-        const kind = Math.floor(INNOCENT_KINDS * this.random() ** 3);
-        this.callInnocent(`innocent-${kind}`);
+      for (let count = 0; count < HARMLESS_PER_STEP; count += 1) {
+        // Requests with lower numbers are sent more often.
+        const kind = Math.floor(HARMLESS_KINDS * this.random() ** 3);
+        this.callHarmless(`harmless-${kind}`);
       }
-      if (passedMs % GUILTY_EVERY_MS === 0) {
-        for (let copy = 0; copy < copies; copy += 1) this.callGuilty();
+      if (passedMs % CRASHING_INTERVAL_MS === 0) {
+        for (let copy = 0; copy < copies; copy += 1) this.callCrashing();
       }
-      if (this.random() < OTHER_CRASHES) this.crash(this.anyRank());
+      if (this.random() < OTHER_CRASH_PROBABILITY)
+        this.crash(this.randomRank());
       this.endRuns();
       this.time.advance(STEP_MS);
-      await settle();
+      await flushPromises();
     }
     return {
       crashes: this.crashTimes.length,
       lateRuns: this.lateRuns,
-      innocents: this.innocents,
-      innocentsWithheld: this.innocentsWithheld,
+      harmlessRequests: this.harmlessRequests,
+      harmlessWithheld: this.harmlessWithheld,
     };
   }
 
-  private callInnocent(digest: string): void {
-    const entry = this.anyEntry();
-    this.innocents += 1;
-    if (entry.suspects.isWithheld(digest)) this.innocentsWithheld += 1;
-    else this.begin(entry, digest);
+  private callHarmless(digest: string): void {
+    const entry = this.randomEntry();
+    this.harmlessRequests += 1;
+    if (entry.suspects.isWithheld(digest)) this.harmlessWithheld += 1;
+    else this.startRun(entry, digest);
   }
 
-  private callGuilty(): void {
-    const entry = this.anyEntry();
-    if (entry.suspects.isWithheld(GUILTY)) return;
-    const run = this.begin(entry, GUILTY);
+  private callCrashing(): void {
+    const entry = this.randomEntry();
+    if (entry.suspects.isWithheld(CRASHING)) return;
+    const run = this.startRun(entry, CRASHING);
     if (run === undefined) return;
     const thirdMs = this.crashTimes.at(2) ?? Number.POSITIVE_INFINITY;
     if (this.time.nowMs > thirdMs + SETTLING_MS) this.lateRuns += 1;
@@ -151,13 +154,13 @@
     });
   }
 
-  /** Undefined while no rank takes it. */
-  private begin(entry: Entry, digest: string): Run | undefined {
+  /** Undefined if no group is available. */
+  private startRun(entry: Entry, digest: string): Run | undefined {
     const open = this.ranks.filter(({ group }) => this.isOpen(group));
     if (open.length === 0) return undefined;
     const rank = open[randomBelow(this.random, open.length)];
     const sentAtMs = this.time.nowMs;
-    const endsAtMs = sentAtMs + this.random() * LONGEST_RUN_MS;
+    const endsAtMs = sentAtMs + this.random() * MAX_RUN_MS;
     const run = { entry, digest, rank, sentAtMs, endsAtMs };
     this.runs.push(run);
     return run;
@@ -169,18 +172,21 @@
       .every(({ downUntilMs }) => downUntilMs <= this.time.nowMs);
   }
 
-  /** All streams of its group break; the port of this rank alone is closed. */
+  /**
+   * All streams of the group break; only the port of the crashed rank is
+   * closed.
+   */
   private crash(rank: Rank): void {
     const nowMs = this.time.nowMs;
     if (rank.downUntilMs > nowMs) return;
     rank.downUntilMs = nowMs + DOWN_MS;
-    const broken = this.runs.filter((run) => run.rank.group === rank.group);
+    const lostRuns = this.runs.filter((run) => run.rank.group === rank.group);
     this.runs = this.runs.filter((run) => run.rank.group !== rank.group);
-    for (const run of broken) {
-      if (run.entry.isOver) continue;
+    for (const run of lostRuns) {
+      if (run.entry.isStopped) continue;
       const { digest, sentAtMs } = run;
       const server = { id: run.rank.id, address: run.rank.id };
-      void run.entry.watch.onLost(server, { digest, sentAtMs });
+      void run.entry.detector.onLost(server, { digest, sentAtMs });
     }
   }
 
@@ -189,20 +195,20 @@
     const ended = this.runs.filter(({ endsAtMs }) => endsAtMs <= nowMs);
     this.runs = this.runs.filter(({ endsAtMs }) => endsAtMs > nowMs);
     for (const { entry, digest } of ended) {
-      if (entry.suspects.acquit(digest)) entry.notes.schedule();
+      if (entry.suspects.acquit(digest)) entry.sync.schedulePublish();
     }
   }
 
   private startEntries(): readonly Entry[] {
     return Array.from({ length: ENTRIES }, (_, at) =>
-      this.start(`entry-${at}`),
+      this.startEntry(`entry-${at}`),
     );
   }
 
-  private start(name: string): Entry {
+  private startEntry(name: string): Entry {
     const now = (): number => this.time.nowMs;
     const suspects = SuspectRequests.create(now);
-    const notes = SuspectNotes.create({
+    const notes = SuspectSync.create({
       name,
       suspects,
       notes: { put: (key, value) => this.put({ key, value }) },
@@ -212,12 +218,12 @@
       }),
       after: (delayMs, action) => {
         this.time.after(delayMs, () => {
-          if (!entry.isOver) action();
+          if (!entry.isStopped) action();
         });
       },
       emit: ignoreEvents,
     });
-    const watch = CrashWatch.create({
+    const watch = CrashDetector.create({
       now,
       emit: ignoreEvents,
       suspects,
@@ -227,42 +233,47 @@
         return Promise.resolve(isDown ? "closed" : "open");
       },
       onEvidence: () => {
-        notes.schedule();
+        notes.schedulePublish();
       },
     });
-    const entry: Entry = { suspects, watch, notes, isOver: false };
-    notes.take([...this.records.values()]);
+    const entry: Entry = {
+      suspects,
+      detector: watch,
+      sync: notes,
+      isStopped: false,
+    };
+    notes.apply([...this.records.values()]);
     return entry;
   }
 
-  /** They know what the store holds. */
+  /** Restarted entries read the records in the store. */
   private restartEntries(): void {
-    for (const entry of this.entries) entry.isOver = true;
+    for (const entry of this.entries) entry.isStopped = true;
     this.entries = this.startEntries();
   }
 
   private put(record: KeyedRecord): Promise<void> {
     const passedMs = this.time.nowMs - this.startMs;
-    if (passedMs < this.options.storeAwayUntilMs) {
+    if (passedMs < this.options.storeDownUntilMs) {
       return Promise.reject(failure(1901));
     }
     this.records.set(record.key, record);
     this.time.after(STORE_DELAY_MS, () => {
-      for (const { notes } of this.entries) notes.take([record]);
+      for (const { sync: notes } of this.entries) notes.apply([record]);
     });
     return Promise.resolve();
   }
 
-  private anyEntry(): Entry {
+  private randomEntry(): Entry {
     return this.entries[randomBelow(this.random, ENTRIES)];
   }
 
-  private anyRank(): Rank {
+  private randomRank(): Rank {
     return this.ranks[randomBelow(this.random, this.ranks.length)];
   }
 }
 
-async function settle(): Promise<void> {
+async function flushPromises(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
