--- a/fuzz/drain.ts
+++ b/fuzz/drain.ts
@@ -1,48 +1,48 @@
 /**
- * Target `drain`: a leaving agent starts nothing, and a graceful end of an
- * agent or an entry cuts no request, also while connections fall silent.
+ * Target `drain`: a leaving agent starts nothing, and the graceful exit of an
+ * agent or an entry aborts no request, even while connections fall silent.
  */
 import type { Safeguard } from "../src/internal.js";
-import { checkHistories } from "./requests/check.js";
+import { checkHistories } from "./requests/check-histories.js";
 import { drainCommands } from "./requests/drain-commands.js";
-import { settle, violations } from "./requests/oracle.js";
-import { World } from "./requests/world.js";
+import { runToCompletion, findViolations } from "./requests/oracle.js";
+import { Simulation } from "./requests/simulation.js";
 import type { FuzzTarget } from "./target.js";
 
-const LONGEST_HISTORY = 40;
+const MAXIMUM_HISTORY_LENGTH = 40;
 const DEADLINE_MS = 300_000;
 
-/** Safeguard to the histories within which its absence is noticed. */
+/** Maximum histories until the absence of a safeguard is detected. */
 const mutations = {
   "refuse-leaving": 3_000,
   "leaving-seen": 3_000,
   "resume-index": 3_000,
 } as const satisfies Partial<Record<Safeguard, number>>;
 
-function createWorld(without: Safeguard | undefined): World {
-  return World.create({
+function createSimulation(without: Safeguard | undefined): Simulation {
+  return Simulation.create({
     deadlineMs: DEADLINE_MS,
     mayRetry: () => false,
     ...(without && { without }),
   });
 }
 
-/** No answer is cut; a request that no runner may take is told so. */
-function judge(world: World): string[] {
-  settle(world);
+/** Requests must be answered, or end as not run if no runner takes them. */
+function findDrainViolations(simulation: Simulation): string[] {
+  runToCompletion(simulation);
   // Requests that found no runner are refused at their deadline.
-  world.step(DEADLINE_MS);
-  const found = violations(world);
-  for (const { call, outcomes } of world.callers.values()) {
+  simulation.step(DEADLINE_MS);
+  const found = findViolations(simulation);
+  for (const { call, outcomes } of simulation.callers.values()) {
     for (const { outcome, error } of outcomes) {
       if (outcome === "answered" || outcome === "not-run") continue;
-      found.push(`${call.request} was cut: ${outcome} ${error}`);
+      found.push(`${call.request} was aborted: ${outcome} ${error}`);
     }
   }
-  for (const { runner, leftAt, drainedRuns } of world.agents) {
-    const isLeaving = leftAt <= world.now;
-    if (isLeaving && drainedRuns === undefined) {
-      found.push(`${runner} never ended`);
+  for (const { runner, leavingSince, cutRunsAtDrain } of simulation.agents) {
+    const isLeaving = leavingSince <= simulation.now;
+    if (isLeaving && cutRunsAtDrain === undefined) {
+      found.push(`${runner} never drained`);
     }
   }
   return found;
@@ -56,9 +56,9 @@
     const result = checkHistories(
       {
         commands: drainCommands,
-        createWorld: () => createWorld(without),
-        judge,
-        longest: LONGEST_HISTORY,
+        createSimulation: () => createSimulation(without),
+        findViolations: findDrainViolations,
+        maximumLength: MAXIMUM_HISTORY_LENGTH,
       },
       settings,
     );
--- a/fuzz/requests.ts
+++ b/fuzz/requests.ts
@@ -1,18 +1,18 @@
 /**
- * Target `requests`: own answer, whole answer, truthful refusal, at most one
- * run of what may not be repeated, under every fault of the network and of
- * the processes.
+ * Target `requests`: under network and process faults, every request gets its
+ * own complete answer or a correct outcome, and work that isn't repeatable
+ * runs at most once.
  */
 import type { Call, Safeguard } from "../src/internal.js";
-import { checkHistories } from "./requests/check.js";
+import { checkHistories } from "./requests/check-histories.js";
 import { requestCommands } from "./requests/commands.js";
-import { settle, violations } from "./requests/oracle.js";
-import { World } from "./requests/world.js";
+import { runToCompletion, findViolations } from "./requests/oracle.js";
+import { Simulation } from "./requests/simulation.js";
 import type { FuzzTarget } from "./target.js";
 
-const LONGEST_HISTORY = 50;
+const MAXIMUM_HISTORY_LENGTH = 50;
 
-/** Safeguard to the histories within which its absence is noticed. */
+/** Maximum histories until the absence of a safeguard is detected. */
 const mutations = {
   tombstone: 3_000,
   "piece-index": 3_000,
@@ -27,8 +27,8 @@
   "end-mark": 100,
 } as const satisfies Partial<Record<Safeguard, number>>;
 
-/** About half of the answers end with their connection only. */
-function marksEndOf({ request }: Call): boolean {
+/** About half of the answers have no end mark. */
+function marksAnswerEnd({ request }: Call): boolean {
   return Number(request.split("-").at(-1)) % 2 === 0;
 }
 
@@ -40,13 +40,16 @@
     const result = checkHistories(
       {
         commands: requestCommands,
-        createWorld: () =>
-          World.create({ marksEndOf, ...(without ? { without } : {}) }),
-        judge: (world) => {
-          settle(world);
-          return violations(world);
+        createSimulation: () =>
+          Simulation.create({
+            marksAnswerEnd,
+            ...(without ? { without } : {}),
+          }),
+        findViolations: (simulation) => {
+          runToCompletion(simulation);
+          return findViolations(simulation);
         },
-        longest: LONGEST_HISTORY,
+        maximumLength: MAXIMUM_HISTORY_LENGTH,
       },
       settings,
     );
--- a/fuzz/requests/check.ts
+++ b/fuzz/requests/check-histories.ts
@@ -1,4 +1,4 @@
-/** Runs histories of steps against the oracle by fast-check. */
+/** Checks random histories of steps against the oracle with fast-check. */
 import * as fc from "fast-check";
 import {
   checkParameters,
@@ -12,33 +12,33 @@
   type Step,
   weightedKinds,
 } from "./commands.js";
-import type { World } from "./world.js";
+import type { Simulation } from "./simulation.js";
 
 export interface HistoryTarget {
   readonly commands: readonly Command[];
-  readonly createWorld: () => World;
-  /** Brings the history to its end and returns what was violated. */
-  readonly judge: (world: World) => readonly string[];
-  readonly longest: number;
+  readonly createSimulation: () => Simulation;
+  /** Runs the history to completion and returns the violations. */
+  readonly findViolations: (simulation: Simulation) => readonly string[];
+  readonly maximumLength: number;
 }
 
-const PROGRESS_EVERY = 10_000;
-const MOST_CHOICES = 7;
+const PROGRESS_INTERVAL = 10_000;
+const MAXIMUM_OPERAND = 7;
 
-function steps(target: HistoryTarget): fc.Arbitrary<Step[]> {
+function historyArbitrary(target: HistoryTarget): fc.Arbitrary<Step[]> {
   const kinds = weightedKinds(target.commands);
   const step = fc.tuple(
     fc.constantFrom(...kinds),
-    fc.nat(MOST_CHOICES),
-    fc.nat(MOST_CHOICES),
+    fc.nat(MAXIMUM_OPERAND),
+    fc.nat(MAXIMUM_OPERAND),
   );
-  return fc.array(step, { maxLength: target.longest, size: "max" });
+  return fc.array(step, { maxLength: target.maximumLength, size: "max" });
 }
 
 function runHistory(target: HistoryTarget, history: readonly Step[]) {
-  const world = target.createWorld();
-  for (const step of history) runStep(target.commands, world, step);
-  return target.judge(world);
+  const simulation = target.createSimulation();
+  for (const step of history) runStep(target.commands, simulation, step);
+  return target.findViolations(simulation);
 }
 
 export function checkHistories(
@@ -47,18 +47,18 @@
 ): FuzzResult {
   let histories = 0;
   let commands = 0;
-  const property = fc.property(steps(target), (history) => {
+  const property = fc.property(historyArbitrary(target), (history) => {
     histories += 1;
     commands += history.length;
-    if (histories % PROGRESS_EVERY === 0) settings.onProgress?.(histories);
+    if (histories % PROGRESS_INTERVAL === 0) settings.onProgress?.(histories);
     return runHistory(target, history).length === 0;
   });
-  // A mutation only has to be noticed; its history needs no shrinking.
+  // A mutation only has to be detected; its history needs no shrinking.
   const endOnFailure = settings.mutation !== undefined;
   const parameters = { ...checkParameters<[Step[]]>(settings), endOnFailure };
   const result = fc.check(property, parameters);
   const [history] = result.counterexample ?? [];
-  const told =
+  const description =
     history === undefined
       ? []
       : [
@@ -69,7 +69,7 @@
     histories,
     commands,
     violations: history === undefined ? 0 : 1,
-    counterexample: told,
+    counterexample: description,
     path: result.counterexamplePath ?? "",
   };
 }
--- a/fuzz/requests/commands.ts
+++ b/fuzz/requests/commands.ts
@@ -1,44 +1,53 @@
-/** Steps of a history: work, time, and every fault the world can have. */
-import type { AgentNode, Connection, EntryNode, World } from "./world.js";
+/** Steps of a history: work, time, and network and process faults. */
+import type {
+  AgentNode,
+  Connection,
+  EntryNode,
+  Simulation,
+} from "./simulation.js";
 
-/** Kind of step and two numbers that choose its objects. */
+/** Index of the command, and two numbers that select its objects. */
 export type Step = readonly [kind: number, a: number, b: number];
 
 export interface Command {
   readonly name: string;
-  /** Share of this command among all. */
+  /** Relative frequency of this command. */
   readonly weight: number;
-  readonly run: (world: World, a: number, b: number) => void;
+  readonly run: (simulation: Simulation, a: number, b: number) => void;
 }
 
-const STEP_MS = [10, 60, 300, 700, 1_300, 1_300, 1_900, 2_600];
-export const DAMAGED = "damaged";
+const STEP_LENGTHS_MS = [10, 60, 300, 700, 1_300, 1_300, 1_900, 2_600];
+export const CORRUPTED_PIECE = "damaged";
 const REPEATABLE_BIT = 1;
 const STREAMED_BIT = 2;
 
-function pick<T>(items: readonly T[], index: number): T | undefined {
+function pickCyclic<T>(items: readonly T[], index: number): T | undefined {
   return items[index % Math.max(1, items.length)];
 }
 
-/** A connection under way; the newest ones most often. */
-function connectionAt(world: World, index: number): Connection | undefined {
-  return world.connections.at(-1 - (index % 4));
+/** One of the four newest connections. */
+function connectionAt(
+  simulation: Simulation,
+  index: number,
+): Connection | undefined {
+  return simulation.connections.at(-1 - (index % 4));
 }
 
-function entryAt(world: World, index: number): EntryNode {
-  return world.entries[index % world.entries.length];
+function entryAt(simulation: Simulation, index: number): EntryNode {
+  return simulation.entries[index % simulation.entries.length];
 }
 
-function agentAt(world: World, index: number): AgentNode {
-  return world.agents[index % world.agents.length];
+function agentAt(simulation: Simulation, index: number): AgentNode {
+  return simulation.agents[index % simulation.agents.length];
 }
 
-/** Attempts of calls that may run once: under way to an agent, or started. */
-function attemptsOf(world: World, agent: AgentNode) {
-  const underWay = world.connections.flatMap(({ up, agentIncarnation }) =>
-    up.map((frame) => ({ frame, incarnation: agentIncarnation })),
+/** Attempts of non-repeatable work: in flight to an agent, or started. */
+function withdrawableAttempts(simulation: Simulation, agent: AgentNode) {
+  const inFlight = simulation.connections.flatMap(
+    ({ toAgent, agentIncarnation }) =>
+      toAgent.map((frame) => ({ frame, incarnation: agentIncarnation })),
   );
-  const dispatched = underWay.flatMap(({ frame, incarnation }) =>
+  const dispatched = inFlight.flatMap(({ frame, incarnation }) =>
     frame.kind === "dispatch" && !frame.call.repeatable
       ? [{ attempt: frame.attempt, incarnation }]
       : [],
@@ -49,30 +58,30 @@
   return [...dispatched, ...started];
 }
 
-/** Work and time alone, with steps of these lengths. */
+/** Steps without faults: requests, and time in these lengths. */
 export const stepCommands = (lengthsMs: readonly number[]): Command[] => [
   {
     name: "accept",
     weight: 6,
-    run: (world, a, b) => {
+    run: (simulation, a, b) => {
       const isRepeatable = (b & REPEATABLE_BIT) !== 0;
       const isStreamed = (b & STREAMED_BIT) !== 0;
-      const entry = entryAt(world, a);
-      if (!entry.paused) world.accept(entry, isRepeatable, isStreamed);
+      const entry = entryAt(simulation, a);
+      if (!entry.paused) simulation.accept(entry, isRepeatable, isStreamed);
     },
   },
   {
     name: "step",
     weight: 8,
-    run: (world, a) => {
-      world.step(pick(lengthsMs, a) ?? 0);
+    run: (simulation, a) => {
+      simulation.step(pickCyclic(lengthsMs, a) ?? 0);
     },
   },
   {
     name: "engine step",
     weight: 2,
-    run: (world, a) => {
-      world.stepEngine(agentAt(world, a));
+    run: (simulation, a) => {
+      simulation.stepEngine(agentAt(simulation, a));
     },
   },
 ];
@@ -81,91 +90,91 @@
   {
     name: "deliver up out of order",
     weight: 3,
-    run: (world, a, b) => {
-      const connection = connectionAt(world, a);
+    run: (simulation, a, b) => {
+      const connection = connectionAt(simulation, a);
       if (connection?.agent.paused === false)
-        world.deliverUp(connection, b % 3);
+        simulation.deliverToAgent(connection, b % 3);
     },
   },
   {
     name: "deliver down out of order",
     weight: 3,
-    run: (world, a, b) => {
-      const connection = connectionAt(world, a);
+    run: (simulation, a, b) => {
+      const connection = connectionAt(simulation, a);
       if (connection?.entry.paused === false) {
-        world.deliverDown(connection, b % 3);
+        simulation.deliverToEntry(connection, b % 3);
       }
     },
   },
   {
-    name: "double a frame",
+    name: "duplicate a frame",
     weight: 2,
-    run: (world, a, b) => {
-      const connection = connectionAt(world, a);
-      const up = connection?.up.at(b >> 1);
-      const down = connection?.down.at(b >> 1);
-      if (b % 2 === 0 && up !== undefined) connection?.up.push(up);
-      if (b % 2 === 1 && down !== undefined) connection?.down.push(down);
+    run: (simulation, a, b) => {
+      const connection = connectionAt(simulation, a);
+      const up = connection?.toAgent.at(b >> 1);
+      const down = connection?.toEntry.at(b >> 1);
+      if (b % 2 === 0 && up !== undefined) connection?.toAgent.push(up);
+      if (b % 2 === 1 && down !== undefined) connection?.toEntry.push(down);
     },
   },
   {
     name: "lose a frame",
     weight: 2,
-    run: (world, a, b) => {
-      const connection = connectionAt(world, a);
-      if (b % 2 === 0) connection?.up.splice(b >> 1, 1);
-      else connection?.down.splice(b >> 1, 1);
+    run: (simulation, a, b) => {
+      const connection = connectionAt(simulation, a);
+      if (b % 2 === 0) connection?.toAgent.splice(b >> 1, 1);
+      else connection?.toEntry.splice(b >> 1, 1);
     },
   },
   {
-    name: "damage a piece",
+    name: "corrupt a piece",
     weight: 1,
-    run: (world, a, b) => {
-      const down = connectionAt(world, a)?.down;
+    run: (simulation, a, b) => {
+      const down = connectionAt(simulation, a)?.toEntry;
       const frame = down?.at(b);
       if (frame?.kind !== "piece") return;
-      down?.splice(b, 1, { ...frame, data: Buffer.from(DAMAGED) });
+      down?.splice(b, 1, { ...frame, data: Buffer.from(CORRUPTED_PIECE) });
     },
   },
   {
-    name: "silence",
+    name: "silence a connection",
     weight: 3,
-    run: (world, a) => {
-      const connection = connectionAt(world, a);
+    run: (simulation, a) => {
+      const connection = connectionAt(simulation, a);
       if (connection !== undefined) connection.silent = true;
     },
   },
   {
-    name: "cut",
+    name: "cut a connection",
     weight: 3,
-    run: (world, a) => {
-      const connection = connectionAt(world, a);
-      if (connection !== undefined) world.cut(connection);
+    run: (simulation, a) => {
+      const connection = connectionAt(simulation, a);
+      if (connection !== undefined) simulation.cut(connection);
     },
   },
   {
     name: "partition",
     weight: 1,
-    run: (world, a) => {
-      world.partitioned = a % 2 === 0;
+    run: (simulation, a) => {
+      simulation.partitioned = a % 2 === 0;
     },
   },
   {
-    name: "lose a close or its answer",
+    name: "lose a close or its reply",
     weight: 1,
-    run: (world, _a, b) => {
-      const close = world.closes.shift();
+    run: (simulation, _a, b) => {
+      const close = simulation.closes.shift();
       if (close === undefined) return;
-      if (b % 2 === 1 && !close.agent.paused) world.askClose(close);
-      world.failClose(close);
+      if (b % 2 === 1 && !close.agent.paused) simulation.executeClose(close);
+      simulation.failClose(close);
     },
   },
   {
-    name: "close answered, answer under way",
+    name: "execute a close, reply in flight",
     weight: 1,
-    run: (world) => {
-      const close = world.closes.at(0);
-      if (close?.agent.paused === false) world.askClose(close);
+    run: (simulation) => {
+      const close = simulation.closes.at(0);
+      if (close?.agent.paused === false) simulation.executeClose(close);
     },
   },
 ];
@@ -174,67 +183,67 @@
   {
     name: "cancel",
     weight: 1,
-    run: (world, a, b) => {
-      const request = pick([...world.callers.keys()], b);
-      const entry = entryAt(world, a);
+    run: (simulation, a, b) => {
+      const request = pickCyclic([...simulation.callers.keys()], b);
+      const entry = entryAt(simulation, a);
       if (request === undefined || entry.paused) return;
-      entry.machine.cancel(request, world.now);
+      entry.machine.cancel(request, simulation.now);
     },
   },
   {
     name: "restart agent",
     weight: 2,
-    run: (world, a) => {
-      world.restartAgent(agentAt(world, a));
+    run: (simulation, a) => {
+      simulation.restartAgent(agentAt(simulation, a));
     },
   },
   {
     name: "restart entry",
     weight: 1,
-    run: (world, a) => {
-      world.restartEntry(entryAt(world, a));
+    run: (simulation, a) => {
+      simulation.restartEntry(entryAt(simulation, a));
     },
   },
   {
-    name: "pause or wake entry",
+    name: "pause or resume entry",
     weight: 1,
-    run: (world, a) => {
-      const entry = entryAt(world, a);
+    run: (simulation, a) => {
+      const entry = entryAt(simulation, a);
       entry.paused = !entry.paused;
     },
   },
   {
-    name: "pause or wake agent",
+    name: "pause or resume agent",
     weight: 1,
-    run: (world, a) => {
-      const agent = agentAt(world, a);
+    run: (simulation, a) => {
+      const agent = agentAt(simulation, a);
       agent.paused = !agent.paused;
     },
   },
   {
-    name: "engine refuses or takes",
+    name: "toggle engine refusal",
     weight: 1,
-    run: (world, a) => {
-      const { engine } = agentAt(world, a);
-      engine.refusing = !engine.refusing;
+    run: (simulation, a) => {
+      const { engine } = agentAt(simulation, a);
+      engine.isRefusing = !engine.isRefusing;
     },
   },
   {
     name: "restart engine",
     weight: 1,
-    run: (world, a) => {
-      const agent = agentAt(world, a);
-      if (!agent.paused) world.restartEngine(agent);
+    run: (simulation, a) => {
+      const agent = agentAt(simulation, a);
+      if (!agent.paused) simulation.restartEngine(agent);
     },
   },
   {
     name: "withdraw",
     weight: 1,
-    run: (world, a, b) => {
-      const agent = agentAt(world, a);
-      const chosen = pick(attemptsOf(world, agent), b);
+    run: (simulation, a, b) => {
+      const agent = agentAt(simulation, a);
+      const chosen = pickCyclic(withdrawableAttempts(simulation, agent), b);
       if (chosen === undefined || agent.paused) return;
-      world.withdraw(agent, chosen.attempt, chosen.incarnation);
+      simulation.withdraw(agent, chosen.attempt, chosen.incarnation);
     },
   },
 ];
@@ -243,23 +252,23 @@
   {
     name: "agent leaves",
     weight: 1,
-    run: (world, a) => {
-      const agent = agentAt(world, a);
-      if (agent.paused || agent.leftAt <= world.now) return;
-      agent.machine.leave(10_000, world.now);
-      agent.leftAt = world.now;
+    run: (simulation, a) => {
+      const agent = agentAt(simulation, a);
+      if (agent.paused || agent.leavingSince <= simulation.now) return;
+      agent.machine.leave(10_000, simulation.now);
+      agent.leavingSince = simulation.now;
     },
   },
 ];
 
 export const requestCommands: readonly Command[] = [
-  ...stepCommands(STEP_MS),
+  ...stepCommands(STEP_LENGTHS_MS),
   ...network,
   ...processes,
   ...leaving,
 ];
 
-/** Index into the list of commands, each as often as its weight. */
+/** Indexes of the commands, each repeated as often as its weight. */
 export function weightedKinds(commands: readonly Command[]): number[] {
   return commands.flatMap(({ weight }, index) =>
     Array.from({ length: weight }, () => index),
@@ -268,10 +277,10 @@
 
 export function runStep(
   commands: readonly Command[],
-  world: World,
+  simulation: Simulation,
   [kind, a, b]: Step,
 ): void {
-  commands[kind].run(world, a, b);
+  commands[kind].run(simulation, a, b);
 }
 
 export function describeStep(
--- a/fuzz/requests/engine.ts
+++ b/fuzz/requests/engine.ts
@@ -1,27 +1,27 @@
 /**
- * The engine of one runner as the oracle sees it: it outlives its agent, and
- * its own record says what was started and what each full answer is.
+ * Simulated engine of one runner. It outlives its agent and records all starts
+ * and complete answers for the oracle.
  */
 import type { Call } from "../../src/internal.js";
 
 export interface EngineRun {
-  readonly name: string;
+  readonly id: string;
   readonly call: Call;
-  /** Full answer of each generation; another one after a regeneration. */
-  readonly versions: string[][];
-  /** Its end can be told from a break inside it. */
+  /** Complete answer of each generation, the latest one last. */
+  readonly generations: string[][];
+  /** The answer has an end mark. */
   readonly isEndMarked: boolean;
-  /** Incarnation of the agent and stream that get the answer now. */
+  /** Agent incarnation and stream that currently receive the answer. */
   reader: { readonly incarnation: string; readonly stream: number };
-  sent: number;
+  sentCount: number;
   headSent: boolean;
-  over: boolean;
+  isFinished: boolean;
 }
 
 export interface EngineStart {
   readonly request: string;
   readonly attempt: string;
-  /** Incarnation of the agent that started it. */
+  /** Incarnation of the agent that started the run. */
   readonly incarnation: string;
   readonly at: number;
 }
@@ -32,103 +32,104 @@
   readonly end: (run: EngineRun) => void;
 }
 
-const SHORTEST_ANSWER = 4;
-const ANSWER_LENGTHS = 5;
+const MINIMUM_ANSWER_PIECES = 4;
+const ANSWER_LENGTH_COUNT = 5;
 
-export class Engine {
+export class SimulatedEngine {
   readonly runs = new Map<string, EngineRun>();
   readonly starts: EngineStart[] = [];
-  /** Refuses connections: nothing starts, and its agent knows it. */
-  refusing = false;
+  /** Refuses connections: nothing starts, and the agent is told so. */
+  isRefusing = false;
 
   private constructor(
     private readonly runner: string,
-    private readonly marksEndOf: (call: Call) => boolean,
+    private readonly marksAnswerEnd: (call: Call) => boolean,
   ) {}
 
   static create(
     runner: string,
-    marksEndOf: (call: Call) => boolean = () => true,
-  ): Engine {
-    return new Engine(runner, marksEndOf);
+    marksAnswerEnd: (call: Call) => boolean = () => true,
+  ): SimulatedEngine {
+    return new SimulatedEngine(runner, marksAnswerEnd);
   }
 
-  start(name: string, call: Call, reader: EngineRun["reader"], at: number) {
+  start(id: string, call: Call, reader: EngineRun["reader"], at: number) {
     const { request } = call;
     const { incarnation } = reader;
-    this.starts.push({ request, attempt: name, incarnation, at });
+    this.starts.push({ request, attempt: id, incarnation, at });
     const run: EngineRun = {
-      name,
+      id,
       call,
-      versions: [],
-      isEndMarked: this.marksEndOf(call),
+      generations: [],
+      isEndMarked: this.marksAnswerEnd(call),
       reader,
-      sent: 0,
+      sentCount: 0,
       headSent: false,
-      over: false,
+      isFinished: false,
     };
     this.generate(run);
-    this.runs.set(name, run);
+    this.runs.set(id, run);
   }
 
-  /** False when no such run is known. */
-  resume(name: string, reader: EngineRun["reader"]): boolean {
-    const run = this.runs.get(name);
+  /** Resends the answer from the start; false if the run is unknown. */
+  resume(id: string, reader: EngineRun["reader"]): boolean {
+    const run = this.runs.get(id);
     if (run === undefined) return false;
     run.reader = reader;
-    run.sent = 0;
+    run.sentCount = 0;
     run.headSent = false;
-    run.over = false;
+    run.isFinished = false;
     return true;
   }
 
-  cancel(name: string): void {
-    const run = this.runs.get(name);
-    if (run !== undefined) run.over = true;
+  cancel(id: string): void {
+    const run = this.runs.get(id);
+    if (run !== undefined) run.isFinished = true;
   }
 
   /**
-   * A restart that generates other words for what still runs; its readers
-   * lose their streams.
+   * Restarts the engine: unfinished runs generate other text, and their
+   * readers lose their streams.
    */
-  regenerate(lose: (run: EngineRun) => void): void {
+  regenerate(onStreamLost: (run: EngineRun) => void): void {
     for (const run of this.runs.values()) {
-      if (run.over) continue;
+      if (run.isFinished) continue;
       this.generate(run);
-      lose(run);
+      onStreamLost(run);
       run.reader = { incarnation: "", stream: 0 };
     }
   }
 
-  /** Every running run puts out one thing more. */
+  /** Every unfinished run emits its next output: head, piece or end. */
   step(output: EngineOutput): void {
     for (const run of this.runs.values()) {
-      if (!run.over) this.stepRun(run, output);
+      if (!run.isFinished) this.stepRun(run, output);
     }
   }
 
   private stepRun(run: EngineRun, output: EngineOutput): void {
-    const answer = run.versions.at(-1) ?? [];
-    const text = answer[run.sent];
+    const answer = run.generations.at(-1) ?? [];
+    const text = answer[run.sentCount];
     if (!run.headSent) {
       run.headSent = true;
       output.head(run);
-    } else if (run.sent < answer.length) {
-      run.sent += 1;
+    } else if (run.sentCount < answer.length) {
+      run.sentCount += 1;
       output.piece(run, text);
     } else {
-      run.over = true;
+      run.isFinished = true;
       output.end(run);
     }
   }
 
   private generate(run: EngineRun): void {
-    const length = SHORTEST_ANSWER + (this.starts.length % ANSWER_LENGTHS);
-    const version = run.versions.length;
+    const length =
+      MINIMUM_ANSWER_PIECES + (this.starts.length % ANSWER_LENGTH_COUNT);
+    const generation = run.generations.length;
     const answer = Array.from(
       { length },
-      (_, index) => `${this.runner}/${run.name}/${version}/${index};`,
+      (_, index) => `${this.runner}/${run.id}/${generation}/${index};`,
     );
-    run.versions.push(answer);
+    run.generations.push(answer);
   }
 }
--- a/fuzz/requests/oracle.ts
+++ b/fuzz/requests/oracle.ts
@@ -1,106 +1,116 @@
-/** What must hold after every history, judged from engines and callers. */
-import { DAMAGED } from "./commands.js";
+/** Invariants checked after every history, from engines and callers. */
+import { CORRUPTED_PIECE } from "./commands.js";
 import type { EngineRun } from "./engine.js";
-import type { CallerView, World } from "./world.js";
+import type { CallerView, Simulation } from "./simulation.js";
 
-const SETTLE_STEP_MS = 400;
-const SETTLE_STEPS = 90;
+const COMPLETION_STEP_MS = 400;
+const COMPLETION_STEPS = 90;
 
-/** Ends all faults that can end and lets every request come to its outcome. */
-export function settle(world: World): void {
-  world.partitioned = false;
-  for (const entry of world.entries) entry.paused = false;
-  for (const agent of world.agents) {
+/** Ends the transient faults and runs until every request has an outcome. */
+export function runToCompletion(simulation: Simulation): void {
+  simulation.partitioned = false;
+  for (const entry of simulation.entries) entry.paused = false;
+  for (const agent of simulation.agents) {
     agent.paused = false;
-    agent.engine.refusing = false;
+    agent.engine.isRefusing = false;
   }
-  for (let step = 0; step < SETTLE_STEPS; step += 1) world.step(SETTLE_STEP_MS);
-  // What a silent connection still holds arrives at the very end.
-  for (const connection of world.connections) {
-    while (world.deliverUp(connection, 0));
-    while (world.deliverDown(connection, 0));
+  for (let step = 0; step < COMPLETION_STEPS; step += 1)
+    simulation.step(COMPLETION_STEP_MS);
+  // Frames stuck in silent connections arrive last.
+  for (const connection of simulation.connections) {
+    while (simulation.deliverToAgent(connection, 0));
+    while (simulation.deliverToEntry(connection, 0));
   }
 }
 
-export function violations(world: World): string[] {
-  const found = [...world.violations];
-  for (const view of world.callers.values()) {
-    found.push(...callerViolations(world, view));
+export function findViolations(simulation: Simulation): string[] {
+  const found = [...simulation.invariantViolations];
+  for (const view of simulation.callers.values()) {
+    found.push(...callerViolations(simulation, view));
   }
-  for (const { agent, attempt } of world.withdrawn) {
+  for (const { agent, attempt } of simulation.withdrawn) {
     const started = agent.engine.starts.some(
       (start) => start.attempt === attempt,
     );
     if (started) found.push(`${attempt} was withdrawn and started`);
   }
-  for (const { runner, engine, leftAt } of world.agents) {
-    const late = engine.starts.filter(({ at }) => at > leftAt).length;
-    if (late > 0) found.push(`${runner} took ${late} new while leaving`);
+  for (const { runner, engine, leavingSince } of simulation.agents) {
+    const late = engine.starts.filter(({ at }) => at > leavingSince).length;
+    if (late > 0) found.push(`${runner} started ${late} runs while leaving`);
   }
   return found;
 }
 
-function isWholeAnswer(run: EngineRun, pieces: readonly string[]): boolean {
+function isCompleteAnswer(run: EngineRun, pieces: readonly string[]): boolean {
   const text = pieces.join("");
-  return run.versions.some((answer) => answer.join("") === text);
+  return run.generations.some((answer) => answer.join("") === text);
 }
 
-/** Damage, or an engine that generated anew, is only found out at the end. */
-function isPartOfAnswer(run: EngineRun, pieces: readonly string[]): boolean {
+/** Corruption and regeneration are detected only at the end of an answer. */
+function isPartialAnswer(run: EngineRun, pieces: readonly string[]): boolean {
   return pieces.every(
     (piece, index) =>
-      piece === DAMAGED ||
-      run.versions.some((answer) => answer[index] === piece),
+      piece === CORRUPTED_PIECE ||
+      run.generations.some((answer) => answer[index] === piece),
   );
 }
 
-/** The pieces belong to one run of this very request. */
-function isOwnAnswer(world: World, view: CallerView, whole: boolean): boolean {
+/** The pieces belong to one run of this request. */
+function isOwnAnswer(
+  simulation: Simulation,
+  view: CallerView,
+  isComplete: boolean,
+): boolean {
   const { pieces, call } = view;
-  const fits = whole ? isWholeAnswer : isPartOfAnswer;
-  return world.agents.some(({ engine }) =>
+  const matches = isComplete ? isCompleteAnswer : isPartialAnswer;
+  return simulation.agents.some(({ engine }) =>
     [...engine.runs.values()].some(
-      (run) => run.call.request === call.request && fits(run, pieces),
+      (run) => run.call.request === call.request && matches(run, pieces),
     ),
   );
 }
 
-/** What may be said of an answer's end; the runs of a request are alike. */
-function endOf(world: World, { call }: CallerView): "answered" | "unmarked" {
-  const runs = world.agents.flatMap(({ engine }) => [...engine.runs.values()]);
+/** Expected outcome of a complete answer; all runs have the same end mark. */
+function expectedAnswerOutcome(
+  simulation: Simulation,
+  { call }: CallerView,
+): "answered" | "unmarked" {
+  const runs = simulation.agents.flatMap(({ engine }) => [
+    ...engine.runs.values(),
+  ]);
   const own = runs.filter((run) => run.call.request === call.request);
   return own.every((run) => run.isEndMarked) ? "answered" : "unmarked";
 }
 
-function callerViolations(world: World, view: CallerView): string[] {
+function callerViolations(simulation: Simulation, view: CallerView): string[] {
   const { call, outcomes, pieces, entryIncarnation } = view;
   const { request } = call;
   const found: string[] = [];
-  const starts = world.agents.flatMap(({ engine }) =>
+  const starts = simulation.agents.flatMap(({ engine }) =>
     engine.starts.filter((start) => start.request === request),
   ).length;
-  const isAlive = world.entries.some(
+  const isAlive = simulation.entries.some(
     ({ incarnation }) => incarnation === entryIncarnation,
   );
   if (!call.repeatable && starts > 1)
     found.push(`${request} ran ${starts} times`);
   if (outcomes.length > 1) found.push(`${request} got several outcomes`);
-  if (isAlive && outcomes.length === 0) found.push(`${request} vanished`);
+  if (isAlive && outcomes.length === 0) found.push(`${request} got no outcome`);
   const [final] = outcomes as (CallerView["outcomes"][number] | undefined)[];
   if (final?.outcome === "not-run" && starts > 0) {
-    found.push(`${request} was said not to have run`);
+    found.push(`${request} was reported as not run, but it started`);
   }
   if (final?.outcome === "broken-off" && starts === 0) {
-    found.push(`${request} was said to have started`);
+    found.push(`${request} was reported as broken off, but it never started`);
   }
-  const isWhole =
+  const isComplete =
     final?.outcome === "answered" || final?.outcome === "unmarked";
-  if (isWhole && final.outcome !== endOf(world, view)) {
-    found.push(`${request} was said to be ${final.outcome}`);
+  if (isComplete && final.outcome !== expectedAnswerOutcome(simulation, view)) {
+    found.push(`${request} was wrongly reported as ${final.outcome}`);
   }
-  if (isWhole && !view.headSeen) found.push(`${request} has no head`);
-  if (pieces.length > 0 || isWhole) {
-    if (!isOwnAnswer(world, view, isWhole)) {
+  if (isComplete && !view.headReceived) found.push(`${request} has no head`);
+  if (pieces.length > 0 || isComplete) {
+    if (!isOwnAnswer(simulation, view, isComplete)) {
       found.push(`${request} got a wrong answer: ${pieces.join("")}`);
     }
   }
--- a/fuzz/requests/world.ts
+++ b/fuzz/requests/simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Two entries and two backend servers in virtual time. All parts between the
- * real state machines are here: connections, closes, callers and placement.
+ * Simulates two entries and two backend servers in virtual time. The state
+ * machines are the real ones; connections, closes, callers and placement are
+ * simulated.
  */
 import {
   AgentGate,
@@ -19,7 +20,7 @@
   SESSION_LIMITS,
   type SessionLimits,
 } from "../../src/internal.js";
-import { Engine, type EngineRun } from "./engine.js";
+import { SimulatedEngine, type EngineRun } from "./engine.js";
 
 export interface Connection {
   readonly id: number;
@@ -28,10 +29,10 @@
   readonly agent: AgentNode;
   readonly agentIncarnation: string;
   readonly number: number;
-  /** Frames under way. */
-  readonly up: EntryFrame[];
-  readonly down: AgentFrame[];
-  /** Takes writes and delivers nothing by itself any more. */
+  /** Frames in flight. */
+  readonly toAgent: EntryFrame[];
+  readonly toEntry: AgentFrame[];
+  /** Accepts writes but delivers frames only on explicit calls. */
   silent: boolean;
   openAtEntry: boolean;
   openAtAgent: boolean;
@@ -48,28 +49,31 @@
 export interface EntryNode {
   readonly name: string;
   incarnation: string;
+  /** State machine under test. */
   machine: EntrySessions;
   paused: boolean;
-  readonly unplaced: string[];
+  readonly unplacedRequests: string[];
 }
 
 export interface AgentNode {
   readonly runner: string;
-  readonly engine: Engine;
+  readonly engine: SimulatedEngine;
   incarnation: string;
+  /** State machine under test. */
   machine: AgentGate;
   paused: boolean;
-  leftAt: number;
-  drainedRuns: number | undefined;
+  leavingSince: number;
+  /** Runs unfinished when the agent drained; undefined before that. */
+  cutRunsAtDrain: number | undefined;
 }
 
-/** What a caller sees of its request. */
+/** A request as its caller sees it. */
 export interface CallerView {
   readonly call: Call;
   readonly entryIncarnation: string;
   readonly acceptedAt: number;
   pieces: string[];
-  headSeen: boolean;
+  headReceived: boolean;
   readonly outcomes: {
     readonly outcome: FinalOutcome;
     readonly error: ErrorNumber | 0;
@@ -77,21 +81,21 @@
   }[];
 }
 
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly without?: Safeguard;
   readonly mayRetry?: MayRetry;
   readonly deadlineMs?: number;
   readonly engineResumes?: boolean;
-  /** Answers without a mark of their end; all have one if absent. */
-  readonly marksEndOf?: (call: Call) => boolean;
+  /** Whether the answer to a call has an end mark; by default, all have. */
+  readonly marksAnswerEnd?: (call: Call) => boolean;
 }
 
-const ENTRIES = 2;
-const AGENTS = 2;
+const ENTRY_COUNT = 2;
+const AGENT_COUNT = 2;
 const DEADLINE_MS = 20_000;
-const NOT_LEFT = Number.POSITIVE_INFINITY;
+const NEVER = Number.POSITIVE_INFINITY;
 
-/** Short holds, so that histories of a few seconds outlast them. */
+/** Short enough that histories of a few seconds reach the limits. */
 export const FUZZ_LIMITS: SessionLimits = {
   ...SESSION_LIMITS,
   doubtMs: 6_000,
@@ -100,40 +104,40 @@
   holdRunBytes: 200,
 };
 
-export class World {
+export class Simulation {
   now = 0;
   readonly entries: EntryNode[] = [];
   readonly agents: AgentNode[] = [];
   readonly connections: Connection[] = [];
   readonly closes: CloseCall[] = [];
   readonly callers = new Map<string, CallerView>();
-  /** Attempts that an agent promised never to start, and had not started. */
+  /** Attempts whose withdrawal an agent confirmed. */
   readonly withdrawn: {
     readonly agent: AgentNode;
     readonly attempt: string;
   }[] = [];
-  readonly violations: string[] = [];
+  readonly invariantViolations: string[] = [];
   partitioned = false;
-  private names = 0;
+  private lastId = 0;
 
-  private constructor(private readonly options: WorldOptions) {
-    for (let index = 0; index < AGENTS; index += 1) {
+  private constructor(private readonly options: SimulationOptions) {
+    for (let index = 0; index < AGENT_COUNT; index += 1) {
       this.agents.push(this.createAgent(`runner-${index}`));
     }
-    for (let index = 0; index < ENTRIES; index += 1) {
+    for (let index = 0; index < ENTRY_COUNT; index += 1) {
       this.entries.push(this.createEntry(`entry-${index}`));
     }
   }
 
-  static create(options: WorldOptions = {}): World {
-    const world = new World(options);
-    world.step(0);
-    world.step(0);
-    return world;
+  static create(options: SimulationOptions = {}): Simulation {
+    const simulation = new Simulation(options);
+    simulation.step(0);
+    simulation.step(0);
+    return simulation;
   }
 
   accept(entry: EntryNode, repeatable: boolean, streamed: boolean): string {
-    const request = this.name("request");
+    const request = this.createId("request");
     const call: Call = {
       request,
       account: "account",
@@ -154,19 +158,19 @@
       entryIncarnation,
       acceptedAt: this.now,
       pieces: [],
-      headSeen: false,
+      headReceived: false,
       outcomes: [],
     };
     const deadlineAt = this.now + (this.options.deadlineMs ?? DEADLINE_MS);
     this.callers.set(request, view);
     const accepted = entry.machine.accept(call, deadlineAt, this.now);
-    // A caller that isn't accepted is told to connect elsewhere.
+    // A refused caller connects to another entry.
     if (accepted.isLeft()) this.callers.delete(request);
-    this.place(entry);
+    this.placePending(entry);
     return request;
   }
 
-  /** Time passes: what can be delivered is, then everybody's timers run. */
+  /** Advances time, delivers frames and closes, and runs all timers. */
   step(elapsedMs: number): void {
     this.now += elapsedMs;
     this.deliverCloses();
@@ -183,50 +187,45 @@
     for (const entry of this.entries) {
       if (entry.paused) continue;
       entry.machine.tick(this.now);
-      this.place(entry);
+      this.placePending(entry);
     }
-    this.forgetDeadConnections();
+    this.removeDeadConnections();
   }
 
   stepEngine(agent: AgentNode): void {
     if (agent.paused) return;
     const { machine, incarnation } = agent;
-    const isHeard = (run: EngineRun): boolean =>
+    const isCurrentReader = (run: EngineRun): boolean =>
       run.reader.incarnation === incarnation;
     agent.engine.step({
       head: (run) => {
-        if (isHeard(run)) {
-          machine.runHead(
-            run.name,
-            run.reader.stream,
-            200,
-            [],
-            run.isEndMarked,
-          );
+        if (isCurrentReader(run)) {
+          machine.runHead(run.id, run.reader.stream, 200, [], run.isEndMarked);
         }
       },
       piece: (run, text) => {
         const data = Buffer.from(text);
-        if (isHeard(run)) machine.runPiece(run.name, run.reader.stream, data);
+        if (isCurrentReader(run))
+          machine.runPiece(run.id, run.reader.stream, data);
       },
       end: (run) => {
-        if (!isHeard(run)) return;
-        machine.runEnded(run.name, run.reader.stream, this.now);
+        if (!isCurrentReader(run)) return;
+        machine.runEnded(run.id, run.reader.stream, this.now);
       },
     });
   }
 
   restartEngine(agent: AgentNode): void {
     const { machine, incarnation, engine } = agent;
-    engine.regenerate(({ name, reader }) => {
+    engine.regenerate(({ id, reader }) => {
       if (reader.incarnation !== incarnation) return;
-      machine.runFailed(name, reader.stream, 1216, this.now);
+      machine.runFailed(id, reader.stream, 1216, this.now);
     });
   }
 
-  /** Delivers one frame, wherever it waits; false if there is none. */
-  deliverUp(connection: Connection, position: number): boolean {
-    const [frame] = connection.up.splice(position, 1) as (
+  /** Delivers the frame at this position; false if there is none. */
+  deliverToAgent(connection: Connection, position: number): boolean {
+    const [frame] = connection.toAgent.splice(position, 1) as (
       EntryFrame | undefined
     )[];
     const { agent, agentIncarnation } = connection;
@@ -237,8 +236,8 @@
     return true;
   }
 
-  deliverDown(connection: Connection, position: number): boolean {
-    const [frame] = connection.down.splice(position, 1) as (
+  deliverToEntry(connection: Connection, position: number): boolean {
+    const [frame] = connection.toEntry.splice(position, 1) as (
       AgentFrame | undefined
     )[];
     const { entry, entryIncarnation, agent, number } = connection;
@@ -246,24 +245,24 @@
       return false;
     }
     entry.machine.receive(agent.runner, number, frame, this.now);
-    this.place(entry);
+    this.placePending(entry);
     return true;
   }
 
-  /** Both ends learn that the connection is gone. */
+  /** Ends the connection and notifies both ends. */
   cut(connection: Connection): void {
-    connection.up.length = 0;
-    connection.down.length = 0;
+    connection.toAgent.length = 0;
+    connection.toEntry.length = 0;
     this.endAtEntry(connection);
     this.endAtAgent(connection);
   }
 
-  /** A graceful end still delivers what the old process has sent. */
+  /** A graceful restart still delivers the frames that were sent before. */
   restartAgent(agent: AgentNode, isGraceful = false): void {
-    agent.incarnation = this.name("agent");
+    agent.incarnation = this.createId("agent");
     agent.machine = this.createGate(agent);
-    agent.leftAt = NOT_LEFT;
-    agent.drainedRuns = undefined;
+    agent.leavingSince = NEVER;
+    agent.cutRunsAtDrain = undefined;
     for (const connection of this.connections) {
       if (connection.agent !== agent) continue;
       connection.openAtAgent = false;
@@ -271,10 +270,10 @@
     }
   }
 
-  /** Callers of a crashed entry see their connections cut. */
+  /** A crash of the entry; its connections and its state are lost. */
   restartEntry(entry: EntryNode): void {
-    entry.incarnation = this.name("entry");
-    entry.unplaced.length = 0;
+    entry.incarnation = this.createId("entry");
+    entry.unplacedRequests.length = 0;
     entry.machine = this.createSessions(entry);
     for (const connection of this.connections) {
       if (connection.entry !== entry) continue;
@@ -286,8 +285,8 @@
 
   withdraw(agent: AgentNode, attempt: string, incarnation: string): void {
     const { machine } = agent;
-    const isPromised = machine.withdraw(attempt, incarnation, this.now);
-    if (isPromised) this.withdrawn.push({ agent, attempt });
+    const isConfirmed = machine.withdraw(attempt, incarnation, this.now);
+    if (isConfirmed) this.withdrawn.push({ agent, attempt });
   }
 
   deliverCloses(): void {
@@ -295,13 +294,13 @@
       if (this.partitioned) this.failClose(close);
       else if (close.agent.paused) this.closes.push(close);
       else {
-        this.askClose(close);
-        this.answerClose(close);
+        this.executeClose(close);
+        this.deliverCloseReply(close);
       }
     }
   }
 
-  askClose(close: CloseCall): void {
+  executeClose(close: CloseCall): void {
     close.reply ??= close.agent.machine.close(close.session, this.now);
   }
 
@@ -310,7 +309,7 @@
     entry.machine.closeFailed(agent.runner, session.number, this.now);
   }
 
-  private answerClose(close: CloseCall): void {
+  private deliverCloseReply(close: CloseCall): void {
     const { entry, entryIncarnation, agent, session, reply } = close;
     if (reply === undefined) return;
     if (entry.paused) {
@@ -320,17 +319,17 @@
     if (entry.incarnation !== entryIncarnation) return;
     const { number } = session;
     entry.machine.closeAnswered(agent.runner, number, reply, this.now);
-    this.place(entry);
+    this.placePending(entry);
   }
 
   private deliverAll(connection: Connection): void {
     const { entry, agent } = connection;
     if (!agent.paused) {
-      while (this.deliverUp(connection, 0));
+      while (this.deliverToAgent(connection, 0));
       if (!connection.openAtEntry) this.endAtAgent(connection);
     }
     if (!entry.paused) {
-      while (this.deliverDown(connection, 0));
+      while (this.deliverToEntry(connection, 0));
       if (!connection.openAtAgent) this.endAtEntry(connection);
     }
   }
@@ -351,7 +350,7 @@
     agent.machine.connectionLost(id, this.now);
   }
 
-  private forgetDeadConnections(): void {
+  private removeDeadConnections(): void {
     const kept = this.connections.filter(
       ({ silent, openAtEntry, openAtAgent }) =>
         silent || openAtEntry || openAtAgent,
@@ -359,10 +358,10 @@
     this.connections.splice(0, this.connections.length, ...kept);
   }
 
-  /** Tries every runner in turn, as a placement without knowledge would. */
-  private place(entry: EntryNode): void {
-    for (const request of entry.unplaced.splice(0)) {
-      const first = this.names % this.agents.length;
+  /** Tries every runner in turn, as a placement without load data would. */
+  private placePending(entry: EntryNode): void {
+    for (const request of entry.unplacedRequests.splice(0)) {
+      const first = this.lastId % this.agents.length;
       const order = [
         ...this.agents.slice(first),
         ...this.agents.slice(0, first),
@@ -372,16 +371,16 @@
       );
       const view = this.callers.get(request);
       const isOpen = view?.outcomes.length === 0;
-      if (!isSent && isOpen) entry.unplaced.push(request);
+      if (!isSent && isOpen) entry.unplacedRequests.push(request);
     }
   }
 
   private createEntry(name: string): EntryNode {
     const node = {
       name,
-      incarnation: this.name("entry"),
+      incarnation: this.createId("entry"),
       paused: false,
-      unplaced: [],
+      unplacedRequests: [],
     };
     const entry: EntryNode = Object.assign(node, {
       machine: this.createSessions(node),
@@ -391,7 +390,7 @@
   }
 
   private addAgents(entry: EntryNode): void {
-    // Effects need the node, which the list of entries doesn't hold yet.
+    // Called last: `addAgent` causes effects, which need the complete node.
     for (const { runner } of this.agents) {
       entry.machine.addAgent(runner, this.now);
     }
@@ -408,10 +407,11 @@
         this.performForEntry(node as EntryNode, effect);
       },
       mayRetry: this.options.mayRetry ?? (() => true),
-      createAttemptId: () => this.name("attempt"),
+      createAttemptId: () => this.createId("attempt"),
       random: () => 0,
       emit: (number, fields) => {
-        if (number === 104) this.violations.push(JSON.stringify(fields));
+        if (number === 104)
+          this.invariantViolations.push(JSON.stringify(fields));
       },
       limits: FUZZ_LIMITS,
       ...(this.options.without && { without: this.options.without }),
@@ -421,11 +421,11 @@
   private createAgent(runner: string): AgentNode {
     const node = {
       runner,
-      engine: Engine.create(runner, this.options.marksEndOf),
-      incarnation: this.name("agent"),
+      engine: SimulatedEngine.create(runner, this.options.marksAnswerEnd),
+      incarnation: this.createId("agent"),
       paused: false,
-      leftAt: NOT_LEFT,
-      drainedRuns: undefined,
+      leavingSince: NEVER,
+      cutRunsAtDrain: undefined,
     };
     return Object.assign(node, { machine: this.createGate(node) });
   }
@@ -442,7 +442,8 @@
         this.performForAgent(node as AgentNode, incarnation, effect);
       },
       emit: (number, fields) => {
-        if (number === 104) this.violations.push(JSON.stringify(fields));
+        if (number === 104)
+          this.invariantViolations.push(JSON.stringify(fields));
       },
       limits: FUZZ_LIMITS,
       ...(this.options.without && { without: this.options.without }),
@@ -458,7 +459,7 @@
         this.disconnect(entry, effect.runner, effect.number);
         return;
       case "send":
-        this.findConnection(entry, effect.runner, effect.number)?.up.push(
+        this.findConnection(entry, effect.runner, effect.number)?.toAgent.push(
           effect.frame,
         );
         return;
@@ -466,45 +467,45 @@
         this.closes.push({
           entry,
           entryIncarnation: entry.incarnation,
-          agent: this.agent(effect.runner),
+          agent: this.findAgent(effect.runner),
           session: effect.session,
           reply: undefined,
         });
         return;
       case "place":
-        entry.unplaced.push(effect.call.request);
+        entry.unplacedRequests.push(effect.call.request);
         return;
       default:
-        this.showCaller(effect);
+        this.recordForCaller(effect);
     }
   }
 
-  private showCaller(effect: EntryEffect): void {
+  private recordForCaller(effect: EntryEffect): void {
     if (!("request" in effect)) return;
     const view = this.callers.get(effect.request);
     if (view === undefined) return;
-    if (effect.kind === "head") view.headSeen = true;
+    if (effect.kind === "head") view.headReceived = true;
     if (effect.kind === "piece") {
       view.pieces.push(Buffer.from(effect.data).toString());
     }
     if (effect.kind === "discard") view.pieces = [];
-    if (effect.kind === "discard") view.headSeen = false;
+    if (effect.kind === "discard") view.headReceived = false;
     if (effect.kind !== "finish") return;
     const { outcome, error } = effect;
     view.outcomes.push({ outcome, error, at: this.now });
   }
 
   private connect(entry: EntryNode, runner: string, number: number): void {
-    const agent = this.agent(runner);
+    const agent = this.findAgent(runner);
     this.connections.push({
-      id: (this.names += 1),
+      id: (this.lastId += 1),
       entry,
       entryIncarnation: entry.incarnation,
       agent,
       agentIncarnation: agent.incarnation,
       number,
-      up: [],
-      down: [],
+      toAgent: [],
+      toEntry: [],
       silent: this.partitioned,
       openAtEntry: true,
       openAtAgent: true,
@@ -540,7 +541,7 @@
       case "send":
         this.connections
           .find(({ id }) => id === effect.connection)
-          ?.down.push(effect.frame);
+          ?.toEntry.push(effect.frame);
         return;
       case "disconnect":
         for (const connection of this.connections) {
@@ -550,7 +551,8 @@
         return;
       case "start-run": {
         const { run, stream, call } = effect;
-        if (engine.refusing) agent.machine.runNotStarted(run, stream, 1214, 0);
+        if (engine.isRefusing)
+          agent.machine.runNotStarted(run, stream, 1214, 0);
         else engine.start(run, call, { incarnation, stream }, this.now);
         return;
       }
@@ -565,19 +567,20 @@
         engine.cancel(effect.run);
         return;
       case "drained":
-        agent.drainedRuns = effect.cutRuns;
+        agent.cutRunsAtDrain = effect.cutRuns;
         return;
     }
   }
 
-  private agent(runner: string): AgentNode {
+  private findAgent(runner: string): AgentNode {
     const found = this.agents.find((agent) => agent.runner === runner);
-    if (found === undefined) throw new TypeError(`no runner ${runner}`);
+    if (found === undefined)
+      throw new TypeError(`runner ${runner} doesn't exist`);
     return found;
   }
 
-  private name(kind: string): string {
-    this.names += 1;
-    return `${kind}-${this.names}`;
+  private createId(kind: string): string {
+    this.lastId += 1;
+    return `${kind}-${this.lastId}`;
   }
 }
--- a/src/session/agent-gate.ts
+++ b/src/session/agent-gate.ts
@@ -1,7 +1,7 @@
 /**
- * The gate of one agent: the last word on whether an attempt starts. An
- * attempt starts at most once, and only in a live session of this
- * incarnation; whatever is answered about it stays true.
+ * The agent's side of all sessions. It decides whether an attempt starts: at
+ * most once, and only in a live session of this incarnation. What it has
+ * reported about an attempt never becomes false later.
  */
 import type { ErrorNumber } from "../shared/errors.js";
 import { AgentRuns } from "./agent-runs.js";
@@ -9,15 +9,15 @@
 import {
   type AgentSession,
   createAgentSession,
+  forgetSettled,
   sessionKey,
-  settle,
 } from "./agent-session.js";
-import { isOver } from "./agent-run.js";
+import { isFinished } from "./agent-run.js";
 import type {
   AgentGateOptions,
   AgentStatus,
   AttemptState,
-  DispatchFigures,
+  DispatchCounts,
 } from "./agent-types.js";
 import { DropCounter } from "./drops.js";
 import { SESSION_LIMITS, type SessionLimits } from "./limits.js";
@@ -35,15 +35,15 @@
 type OpenFrame = Extract<EntryFrame, { kind: "open" }>;
 
 export class AgentGate {
-  private readonly byKey = new Map<string, AgentSession>();
-  private readonly byConnection = new Map<number, AgentSession>();
-  /** Highest session number closed or opened, by entry incarnation. */
-  private readonly highestNumber = new Map<string, number>();
+  private readonly sessionsByKey = new Map<string, AgentSession>();
+  private readonly sessionsByConnection = new Map<number, AgentSession>();
+  /** Highest session number opened, by entry incarnation. */
+  private readonly highestSessionNumber = new Map<string, number>();
   private readonly withdrawn: AttemptMemory;
-  private readonly startedOnce: AttemptMemory;
+  private readonly startedNonRepeatable: AttemptMemory;
   private readonly runs: AgentRuns;
   private readonly drops: DropCounter;
-  private readonly counts = {
+  private readonly dispatchCounts = {
     received: 0,
     started: 0,
     attached: 0,
@@ -53,7 +53,7 @@
   private leaving:
     { readonly graceMs: number; readonly until: number } | undefined;
   private drained = false;
-  private lastTick: number | undefined;
+  private lastTickAt: number | undefined;
 
   private constructor(
     private readonly options: AgentGateOptions,
@@ -63,7 +63,10 @@
     const { rememberMs, rememberAttempts } = limits;
     this.runs = AgentRuns.create(perform, limits, without);
     this.withdrawn = AttemptMemory.create(rememberMs, rememberAttempts);
-    this.startedOnce = AttemptMemory.create(rememberMs, rememberAttempts);
+    this.startedNonRepeatable = AttemptMemory.create(
+      rememberMs,
+      rememberAttempts,
+    );
     this.drops = DropCounter.create(options.emit);
   }
 
@@ -71,23 +74,23 @@
     return new AgentGate(options, options.limits ?? SESSION_LIMITS);
   }
 
-  /** A frame that came in on a connection, numbered by the daemon. */
+  /** Handles a frame; the daemon numbers the connections. */
   receive(connection: number, frame: EntryFrame, now: number): void {
     if (frame.kind === "open") {
-      this.open(connection, frame, now);
+      this.openSession(connection, frame, now);
       return;
     }
-    const session = this.byConnection.get(connection);
+    const session = this.sessionsByConnection.get(connection);
     if (session?.isLive !== true) {
       this.drops.count("", "session-not-live");
-      if (frame.kind === "dispatch") this.counts.received += 1;
-      if (frame.kind === "dispatch") this.counts.dropped += 1;
+      if (frame.kind === "dispatch") this.dispatchCounts.received += 1;
+      if (frame.kind === "dispatch") this.dispatchCounts.dropped += 1;
       return;
     }
-    session.heardAt = now;
+    session.lastReceivedAt = now;
     switch (frame.kind) {
       case "dispatch":
-        this.dispatch(session, frame, now);
+        this.handleDispatch(session, frame, now);
         return;
       case "cancel":
         this.runs.cancel(frame.attempt);
@@ -99,80 +102,84 @@
     }
   }
 
-  /** The connection failed or ended: nothing more can start on it. */
+  /** Closes the session of a failed or closed connection. */
   connectionLost(connection: number, now: number): void {
-    const session = this.byConnection.get(connection);
+    const session = this.sessionsByConnection.get(connection);
     if (session !== undefined) this.tombstone(session, now);
-    this.byConnection.delete(connection);
+    this.sessionsByConnection.delete(connection);
   }
 
   /**
-   * Closes a session for good and tells what had started in it. The order
-   * matters: first nothing more can start, then the list is taken. A session
-   * that this incarnation doesn't know proves nothing.
+   * Closes a session and lists the attempts that started in it. The session
+   * is marked closed before the list is made, so that nothing can start in
+   * between. `closed` is false for a session unknown to this incarnation.
    */
   close(id: SessionId, now: number): CloseReply {
     const { incarnation: agentIncarnation, without } = this.options;
-    const nothing = { closed: false, agentIncarnation, started: [] };
+    const unknownReply = { closed: false, agentIncarnation, started: [] };
     if (id.agentIncarnation !== agentIncarnation) {
-      if (without !== "agent-incarnation") return nothing;
-      return { ...nothing, closed: true };
+      if (without !== "agent-incarnation") return unknownReply;
+      return { ...unknownReply, closed: true };
     }
     const key = sessionKey(id.entryIncarnation, id.number);
-    const session = this.byKey.get(key);
-    if (session === undefined) return nothing;
+    const session = this.sessionsByKey.get(key);
+    if (session === undefined) return unknownReply;
     if (without !== "tombstone") this.tombstone(session, now);
-    session.isProved = true;
-    return { closed: true, agentIncarnation, started: this.progress(session) };
+    session.isCloseConfirmed = true;
+    return {
+      closed: true,
+      agentIncarnation,
+      started: this.listStarted(session),
+    };
   }
 
   /**
-   * What is known of an attempt that was meant for an incarnation of this
-   * agent, for an entry that repeats its call.
+   * State of an attempt that was sent to the given incarnation of this agent,
+   * for an entry that repeats its request.
    */
   find(attempt: string, agentIncarnation: string): AttemptState {
     const run = this.runs.find(attempt);
-    if (run !== undefined) return isOver(run) ? "ended" : "running";
-    if (this.startedOnce.has(attempt)) return "gone";
+    if (run !== undefined) return isFinished(run) ? "ended" : "running";
+    if (this.startedNonRepeatable.has(attempt)) return "gone";
     if (agentIncarnation !== this.options.incarnation) return "lost";
     return this.withdrawn.has(attempt) ? "withdrawn" : "unknown";
   }
 
   /**
-   * Makes sure that an attempt of work that may run at most once never starts
-   * here. False when it may have started, also long ago with its answer gone,
-   * or when no more can be remembered: forgetting one would let a late
-   * dispatch start after its withdrawal was promised. False also for an
-   * attempt meant for an older incarnation, which may have started it.
+   * Guarantees that an attempt of work that may run at most once never starts
+   * here. Returns false if it may have started: it did, an older incarnation
+   * was meant to run it, or the record of a start may have been evicted.
+   * Returns false too when no more withdrawals can be kept, because evicting
+   * one would let a late dispatch start after its withdrawal was promised.
    */
   withdraw(attempt: string, agentIncarnation: string, now: number): boolean {
     if (agentIncarnation !== this.options.incarnation) return false;
     if (this.withdrawn.has(attempt)) return true;
     if (this.runs.find(attempt) !== undefined) return false;
-    if (this.startedOnce.has(attempt)) return false;
-    if (!this.startedOnce.isComplete(now) || this.withdrawn.isFull)
+    if (this.startedNonRepeatable.has(attempt)) return false;
+    if (!this.startedNonRepeatable.isComplete(now) || this.withdrawn.isFull)
       return false;
     this.withdrawn.add(attempt, now);
     return true;
   }
 
-  /** Refuses new work from now on and tells every entry. */
+  /** Refuses new work from now on and notifies every entry. */
   leave(graceMs: number, now: number): void {
     if (this.leaving !== undefined) return;
     this.leaving = { graceMs, until: now + graceMs };
-    for (const session of this.byKey.values()) {
+    for (const session of this.sessionsByKey.values()) {
       if (session.isLive) this.send(session, { kind: "leaving", graceMs }, now);
     }
   }
 
   /** Sends the engine's load to every entry. */
   report(report: LoadReport, now: number): void {
-    for (const session of this.byKey.values()) {
+    for (const session of this.sessionsByKey.values()) {
       if (session.isLive) this.send(session, { kind: "load", report }, now);
     }
   }
 
-  /** The engine has taken the work. */
+  /** The engine has accepted the work. */
   runAccepted(run: string, stream: number): void {
     this.runs.accepted(run, stream);
   }
@@ -204,7 +211,7 @@
     this.runs.failed(run, stream, error, now);
   }
 
-  /** The engine never got the work, for sure. */
+  /** The engine provably never received the work. */
   runNotStarted(
     run: string,
     stream: number,
@@ -213,86 +220,89 @@
   ): void {
     const attempt = this.runs.notStarted(run, stream, error, retryAfterMs);
     if (attempt === undefined) return;
-    for (const session of this.byKey.values()) unmark(session, attempt);
+    for (const session of this.sessionsByKey.values())
+      removeStarted(session, attempt);
   }
 
   tick(now: number): void {
-    const pauseMs = now - (this.lastTick ?? now);
-    this.lastTick = now;
-    const paused = pauseMs >= this.limits.silentAfterMs;
-    for (const session of this.byKey.values()) {
-      if (paused) session.heardAt = now;
+    const pauseMs = now - (this.lastTickAt ?? now);
+    this.lastTickAt = now;
+    const wasPaused = pauseMs >= this.limits.silentAfterMs;
+    for (const session of this.sessionsByKey.values()) {
+      if (wasPaused) session.lastReceivedAt = now;
       this.tickSession(session, now);
     }
     this.runs.tick(now);
     this.withdrawn.tick(now);
-    this.startedOnce.tick(now);
-    this.finishLeaving(now);
+    this.startedNonRepeatable.tick(now);
+    this.completeDrain(now);
     this.checkDispatches();
   }
 
-  /** Runs that aren't over. */
+  /** Number of unfinished runs. */
   get running(): number {
     return this.runs.running;
   }
 
   status(): AgentStatus {
-    const live = [...this.byKey.values()].filter(({ isLive }) => isLive);
+    const live = [...this.sessionsByKey.values()].filter(
+      ({ isLive }) => isLive,
+    );
     return {
       incarnation: this.options.incarnation,
       leaving: this.leaving !== undefined,
       sessions: live.length,
       running: this.runs.running,
-      held: this.runs.held,
-      heldBytes: this.runs.bytes,
+      held: this.runs.finishedCount,
+      heldBytes: this.runs.bufferedBytes,
       withdrawn: this.withdrawn.size,
       dispatches: this.checkDispatches(),
     };
   }
 
   /**
-   * A session number counts once: an opening that was under way while its
-   * session was closed, or an older one, would let late dispatches in.
+   * Accepts each session number once. A delayed opening of a session that was
+   * closed meanwhile, or of an older one, would admit late dispatches.
    */
-  private open(connection: number, frame: OpenFrame, now: number): void {
+  private openSession(connection: number, frame: OpenFrame, now: number): void {
     const { entry, entryIncarnation, number } = frame;
-    const highest = this.highestNumber.get(entryIncarnation) ?? 0;
-    if (this.byConnection.has(connection) || number <= highest) {
+    const highest = this.highestSessionNumber.get(entryIncarnation) ?? 0;
+    if (this.sessionsByConnection.has(connection) || number <= highest) {
       const reason = "number used before";
       this.options.emit(147, { entry, session: number, reason });
-      if (!this.byConnection.has(connection)) {
+      if (!this.sessionsByConnection.has(connection)) {
         this.options.perform({ kind: "disconnect", connection });
       }
       return;
     }
-    this.highestNumber.set(entryIncarnation, number);
-    for (const session of this.byKey.values()) {
+    this.highestSessionNumber.set(entryIncarnation, number);
+    for (const session of this.sessionsByKey.values()) {
       if (session.id.entryIncarnation !== entryIncarnation) continue;
-      if (session.isLive) this.end(session, now);
+      if (session.isLive) this.endSession(session, now);
     }
     const { incarnation: agentIncarnation, runner, group } = this.options;
     const id = { entry, entryIncarnation, agentIncarnation, number };
     const session = createAgentSession(id, connection, now);
-    this.byKey.set(sessionKey(entryIncarnation, number), session);
-    this.byConnection.set(connection, session);
+    this.sessionsByKey.set(sessionKey(entryIncarnation, number), session);
+    this.sessionsByConnection.set(connection, session);
     this.send(session, { kind: "opened", session: id, runner, group }, now);
     if (this.leaving === undefined) return;
     const { graceMs } = this.leaving;
     this.send(session, { kind: "leaving", graceMs }, now);
   }
 
-  private dispatch(
+  private handleDispatch(
     session: AgentSession,
     frame: DispatchFrame,
     now: number,
   ): void {
-    this.counts.received += 1;
+    this.dispatchCounts.received += 1;
     const { sequence, attempt, resumeOf } = frame;
-    // A doubled dispatch would start its work twice. Numbers only rise, so
-    // one number remembers every dispatch of the session.
-    const isDoubled = sequence <= session.lastSequence;
-    if (isDoubled && this.options.without !== "dispatch-once") {
-      this.counts.dropped += 1;
+    // A duplicate dispatch would start its work twice. Sequences only rise, so
+    // the last one is enough to detect any duplicate of the session.
+    const isDuplicate = sequence <= session.lastSequence;
+    if (isDuplicate && this.options.without !== "dispatch-once") {
+      this.dispatchCounts.dropped += 1;
       this.drops.count(attempt, "dispatch-doubled");
       return;
     }
@@ -307,21 +317,22 @@
     now: number,
   ): void {
     const { attempt, sequence, call } = frame;
-    const refusal = this.refusal(frame) ?? this.options.mayStart(call);
+    const refusal = this.findRefusal(frame) ?? this.options.mayStart(call);
     if (refusal !== undefined) {
       this.refuse(session, attempt, refusal.error, refusal.retryAfterMs, now);
       return;
     }
-    // The mark comes before the engine hears of the work: a close in between
-    // has to list it.
+    // Recorded before the work is sent to the engine, so that a close in
+    // between lists it.
     session.started.set(sequence, attempt);
-    const forgets = this.options.without === "remember-starts";
-    if (!call.repeatable && !forgets) this.startedOnce.add(attempt, now);
-    this.counts.started += 1;
+    const skipsMemory = this.options.without === "remember-starts";
+    if (!call.repeatable && !skipsMemory)
+      this.startedNonRepeatable.add(attempt, now);
+    this.dispatchCounts.started += 1;
     this.runs.start(frame, session.connection);
   }
 
-  private refusal({ attempt }: DispatchFrame) {
+  private findRefusal({ attempt }: DispatchFrame) {
     const retryAfterMs = 0;
     if (this.withdrawn.has(attempt))
       return { error: 1406, retryAfterMs } as const;
@@ -330,7 +341,7 @@
     return { error: 1402, retryAfterMs } as const;
   }
 
-  /** Goes on with a run, also while leaving: it is no new work. */
+  /** Resumes a run, even while leaving, because it isn't new work. */
   private resume(
     session: AgentSession,
     frame: DispatchFrame,
@@ -338,26 +349,29 @@
   ): void {
     const { connection } = session;
     const run = this.runs.find(frame.resumeOf);
-    // A name alone opens no answer: it has to be the same account's.
-    const isOwn = run === undefined || run.call.account === frame.call.account;
-    const isHeld = run !== undefined && run.base <= frame.fromIndex;
-    const canServe = isHeld || this.options.engineResumes;
-    if (!isOwn || !canServe) {
+    // Knowing a run's ID isn't enough: it must belong to the same account.
+    const isSameAccount =
+      run === undefined || run.call.account === frame.call.account;
+    const isBuffered =
+      run !== undefined && run.firstBufferedIndex <= frame.fromIndex;
+    const canServe = isBuffered || this.options.engineResumes;
+    if (!isSameAccount || !canServe) {
       this.refuse(session, frame.attempt, 1405, 0, now);
       return;
     }
     session.started.set(frame.sequence, frame.attempt);
-    this.counts.attached += 1;
-    if (run !== undefined) this.unmarkProved(session, run.attempt);
-    if (run === undefined) this.runs.seek(frame, connection);
+    this.dispatchCounts.attached += 1;
+    if (run !== undefined) this.removeConfirmedStarted(session, run.attempt);
+    if (run === undefined) this.runs.recover(frame, connection);
     else this.runs.attach(run, frame, connection);
   }
 
-  /** The entry resumes what a closed session had started: it has the proof. */
-  private unmarkProved({ id }: AgentSession, attempt: string): void {
-    for (const session of this.byKey.values()) {
-      const isSame = session.id.entryIncarnation === id.entryIncarnation;
-      if (isSame && session.isProved) unmark(session, attempt);
+  /** The resuming entry no longer needs the attempt in its closed sessions. */
+  private removeConfirmedStarted({ id }: AgentSession, attempt: string): void {
+    for (const session of this.sessionsByKey.values()) {
+      const isSameEntry = session.id.entryIncarnation === id.entryIncarnation;
+      if (isSameEntry && session.isCloseConfirmed)
+        removeStarted(session, attempt);
     }
   }
 
@@ -368,38 +382,38 @@
     retryAfterMs: number,
     now: number,
   ): void {
-    this.counts.refused += 1;
+    this.dispatchCounts.refused += 1;
     const frame = { kind: "refused", attempt, error, retryAfterMs } as const;
     this.send(session, frame, now);
   }
 
   private settle(session: AgentSession, settledBelow: number): void {
-    for (const attempt of settle(session, settledBelow)) {
+    for (const attempt of forgetSettled(session, settledBelow)) {
       this.runs.settle(attempt);
     }
   }
 
-  /** What had started in a session, whether its answer is still held or not. */
-  private progress(session: AgentSession): AttemptProgress[] {
+  /** Attempts that started in a session, even if their runs were removed. */
+  private listStarted(session: AgentSession): AttemptProgress[] {
     const progress: AttemptProgress[] = [];
     for (const attempt of session.started.values()) {
-      const run = this.runs.findReader(attempt);
+      const run = this.runs.findByAttempt(attempt);
       if (run === undefined && this.options.without === "started-marks")
         continue;
-      const pieces = run?.count ?? 0;
-      const ended = run !== undefined && isOver(run);
+      const pieces = run?.pieceCount ?? 0;
+      const ended = run !== undefined && isFinished(run);
       progress.push({ attempt, pieces, ended });
     }
     return progress;
   }
 
   private send(session: AgentSession, frame: AgentFrame, now: number): void {
-    session.sentAt = now;
+    session.lastSentAt = now;
     const { connection } = session;
     this.options.perform({ kind: "send", connection, frame });
   }
 
-  /** Nothing starts in the session any more; its runs lose their reader. */
+  /** Marks the session as closed and detaches its runs. */
   private tombstone(session: AgentSession, now: number): void {
     if (!session.isLive) return;
     session.isLive = false;
@@ -407,7 +421,7 @@
     this.runs.detach(session.connection, now);
   }
 
-  private end(session: AgentSession, now: number): void {
+  private endSession(session: AgentSession, now: number): void {
     this.tombstone(session, now);
     const { connection } = session;
     this.options.perform({ kind: "disconnect", connection });
@@ -416,37 +430,39 @@
   private tickSession(session: AgentSession, now: number): void {
     const { silentAfterMs, heartbeatMs, proofMs } = this.limits;
     if (!session.isLive) {
-      if (now - session.closedAt > proofMs) this.forget(session);
+      if (now - session.closedAt > proofMs) this.forgetSession(session);
       return;
     }
-    if (now - session.heardAt > silentAfterMs) this.end(session, now);
-    else if (now - session.sentAt >= heartbeatMs) {
+    if (now - session.lastReceivedAt > silentAfterMs)
+      this.endSession(session, now);
+    else if (now - session.lastSentAt >= heartbeatMs) {
       this.send(session, { kind: "heartbeat" }, now);
     }
   }
 
-  private forget(session: AgentSession): void {
+  private forgetSession(session: AgentSession): void {
     const { entryIncarnation, number } = session.id;
-    this.byKey.delete(sessionKey(entryIncarnation, number));
-    // An entry dispatches only after the answer to its opening, so a number
-    // that comes back now has no dispatches behind it.
-    if (this.highestNumber.get(entryIncarnation) === number) {
-      this.highestNumber.delete(entryIncarnation);
+    this.sessionsByKey.delete(sessionKey(entryIncarnation, number));
+    // An entry dispatches only after its opening was answered, so a late
+    // opening with this number can't be followed by old dispatches.
+    if (this.highestSessionNumber.get(entryIncarnation) === number) {
+      this.highestSessionNumber.delete(entryIncarnation);
     }
-    if (this.byConnection.get(session.connection) === session) {
-      this.byConnection.delete(session.connection);
+    if (this.sessionsByConnection.get(session.connection) === session) {
+      this.sessionsByConnection.delete(session.connection);
     }
   }
 
   /**
-   * The agent can end once its engine is idle and no entry still reads. What
-   * outlasts the grace goes on at the engine: the next agent of this backend
-   * server finds it there when an entry resumes it.
+   * The agent has drained once the engine is idle and no entry depends on it.
+   * Runs that outlast the grace period continue at the engine, where the next
+   * agent of this backend server can resume them.
    */
-  private finishLeaving(now: number): void {
+  private completeDrain(now: number): void {
     if (this.leaving === undefined || this.drained) return;
     const isGraceOver = now >= this.leaving.until;
-    if (!isGraceOver && (this.runs.running > 0 || this.isNeeded(now))) return;
+    if (!isGraceOver && (this.runs.running > 0 || this.isStillNeeded(now)))
+      return;
     this.drained = true;
     const cutRuns = this.runs.running;
     this.options.emit(146, { runner: this.options.runner, cutRuns });
@@ -454,34 +470,36 @@
   }
 
   /**
-   * An entry still reads an answer, may have a dispatch under way, or may
-   * still ask what had started in a session that broke. Ending before that
-   * turns truthful "not run" answers into "unknown" ones.
+   * An entry still reads an answer, may have a dispatch in flight, or may
+   * still ask which attempts started in a lost session. If the agent exited
+   * before that, outcomes that could be "not-run" would become "unknown".
    */
-  private isNeeded(now: number): boolean {
+  private isStillNeeded(now: number): boolean {
     const { doubtMs, resumeMs } = this.limits;
     if (this.options.without === "leaving-seen") return false;
-    for (const session of this.byKey.values()) {
-      const { isLive, isProved, leavingSeen, started, closedAt } = session;
+    for (const session of this.sessionsByKey.values()) {
+      const { isLive, isCloseConfirmed, leavingSeen, started, closedAt } =
+        session;
       if (isLive && (!leavingSeen || started.size > 0)) return true;
-      const goneMs = now - closedAt;
-      if (!isLive && !isProved && goneMs < doubtMs) return true;
-      if (!isLive && started.size > 0 && goneMs < resumeMs) return true;
+      const closedForMs = now - closedAt;
+      if (!isLive && !isCloseConfirmed && closedForMs < doubtMs) return true;
+      if (!isLive && started.size > 0 && closedForMs < resumeMs) return true;
     }
     return false;
   }
 
-  private checkDispatches(): DispatchFigures {
-    const { received, started, attached, refused, dropped } = this.counts;
+  private checkDispatches(): DispatchCounts {
+    const { received, started, attached, refused, dropped } =
+      this.dispatchCounts;
     if (received !== started + attached + refused + dropped) {
-      const detail = JSON.stringify(this.counts);
+      const detail = JSON.stringify(this.dispatchCounts);
       this.options.emit(104, { rule: "dispatches", detail });
     }
-    return { ...this.counts };
+    return { ...this.dispatchCounts };
   }
 }
 
-function unmark(session: AgentSession, attempt: string): void {
+function removeStarted(session: AgentSession, attempt: string): void {
   for (const [sequence, started] of session.started) {
     if (started === attempt) session.started.delete(sequence);
   }
--- a/src/session/agent-run.ts
+++ b/src/session/agent-run.ts
@@ -1,112 +1,115 @@
-/** One run of the engine and the part of its answer that is held. */
+/** State of one engine run and the buffered part of its answer. */
 import { crc32 } from "node:zlib";
 import type { ErrorNumber } from "../shared/errors.js";
 import type { Call, Header } from "./types.js";
 
 export interface Run {
-  /** Attempt that started it; the engine's name for it. */
-  readonly name: string;
+  /** ID of the attempt that started the run; identifies it at the engine. */
+  readonly id: string;
   readonly call: Call;
-  /** Attempt whose session gets the answer now. */
+  /** Attempt that currently receives the answer. */
   attempt: string;
-  /** Connection of that session; undefined while nobody reads. */
+  /** Connection of that attempt; undefined while no entry reads. */
   connection: number | undefined;
   detachedAt: number;
-  /** Answers of the engine to an older start or resume are late. */
+  /** Rises with each resend; engine data for older streams is dropped. */
   stream: number;
   status: "starting" | "running" | "ended" | "failed";
-  /** Was made by a resumption: the start was another incarnation's. */
-  isFound: boolean;
+  /** Created by a resumption; an earlier incarnation started the run. */
+  isRecovered: boolean;
   endedAt: number;
   error: ErrorNumber;
   head:
     | {
         readonly status: number;
         readonly headers: readonly Header[];
-        /** The backend server marks where this answer ends. */
+        /** The backend server marks the end of this answer explicitly. */
         readonly isEndMarked: boolean;
       }
     | undefined;
-  /** Pieces from `base` on; the ones before it were dropped. */
-  pieces: Uint8Array[];
-  base: number;
-  heldBytes: number;
-  /** Pieces so far and CRC-32 over all of them, the dropped ones included. */
-  count: number;
+  /** Pieces from `firstBufferedIndex` on; earlier ones were dropped. */
+  bufferedPieces: Uint8Array[];
+  firstBufferedIndex: number;
+  bufferedBytes: number;
+  /** Number of pieces so far, and CRC-32 over them, including dropped ones. */
+  pieceCount: number;
   checksum: number;
-  /** First piece that the reader wants. */
-  sendFrom: number;
+  /** Index of the first piece to send to the reader. */
+  sendFromIndex: number;
 }
 
 export function createRun(
-  name: string,
+  id: string,
   call: Call,
   attempt: string,
   connection: number,
 ): Run {
   return {
-    name,
+    id,
     call,
     attempt,
     connection,
     detachedAt: Number.POSITIVE_INFINITY,
     stream: 1,
     status: "starting",
-    isFound: false,
+    isRecovered: false,
     endedAt: Number.POSITIVE_INFINITY,
     error: 1210,
     head: undefined,
-    pieces: [],
-    base: 0,
-    heldBytes: 0,
-    count: 0,
+    bufferedPieces: [],
+    firstBufferedIndex: 0,
+    bufferedBytes: 0,
+    pieceCount: 0,
     checksum: 0,
-    sendFrom: 0,
+    sendFromIndex: 0,
   };
 }
 
-export function isOver(run: Run): boolean {
+export function isFinished(run: Run): boolean {
   return run.status === "ended" || run.status === "failed";
 }
 
-/** Takes a piece; returns the change in bytes held. */
-export function holdPiece(
+/** Buffers a piece; returns the change in buffered bytes. */
+export function bufferPiece(
   run: Run,
   data: Uint8Array,
   maximumBytes: number,
 ): number {
-  run.pieces.push(data);
-  run.count += 1;
+  run.bufferedPieces.push(data);
+  run.pieceCount += 1;
   run.checksum = crc32(data, run.checksum);
-  run.heldBytes += data.byteLength;
-  if (run.heldBytes <= maximumBytes) return data.byteLength;
+  run.bufferedBytes += data.byteLength;
+  if (run.bufferedBytes <= maximumBytes) return data.byteLength;
   return data.byteLength - dropOldestHalf(run);
 }
 
-/** Dropping one piece at a time would move the whole array each time. */
+/** Drops half at once, because each removal shifts the whole array. */
 function dropOldestHalf(run: Run): number {
-  const dropped = run.pieces.splice(0, Math.ceil(run.pieces.length / 2));
+  const dropped = run.bufferedPieces.splice(
+    0,
+    Math.ceil(run.bufferedPieces.length / 2),
+  );
   const bytes = dropped.reduce((sum, piece) => sum + piece.byteLength, 0);
-  run.base += dropped.length;
-  run.heldBytes -= bytes;
+  run.firstBufferedIndex += dropped.length;
+  run.bufferedBytes -= bytes;
   return bytes;
 }
 
-/** Drops what is held; returns the bytes freed. */
-export function dropPieces(run: Run): number {
-  const bytes = run.heldBytes;
-  run.base = run.count;
-  run.pieces = [];
-  run.heldBytes = 0;
+/** Drops all buffered pieces; returns the bytes freed. */
+export function dropBufferedPieces(run: Run): number {
+  const bytes = run.bufferedBytes;
+  run.firstBufferedIndex = run.pieceCount;
+  run.bufferedPieces = [];
+  run.bufferedBytes = 0;
   return bytes;
 }
 
-/** Begins the answer anew, for an engine that sends it from the start. */
+/** Resets the answer for an engine that resends it from the first piece. */
 export function restartAnswer(run: Run): void {
   run.stream += 1;
   run.status = "running";
-  run.base = 0;
-  run.count = 0;
+  run.firstBufferedIndex = 0;
+  run.pieceCount = 0;
   run.checksum = 0;
   run.head = undefined;
 }
--- a/src/session/agent-runs.ts
+++ b/src/session/agent-runs.ts
@@ -1,13 +1,13 @@
 /**
- * All runs of one agent: what the engine sends goes to the reader of the run
- * and is held, within a time and a size, for a reader that comes back.
+ * All runs of one agent. Engine output is sent to the attempt that reads the
+ * run, and is buffered within time and size limits for a later resumption.
  */
 import type { ErrorNumber } from "../shared/errors.js";
 import {
   createRun,
-  dropPieces,
-  holdPiece,
-  isOver,
+  bufferPiece,
+  dropBufferedPieces,
+  isFinished,
   restartAnswer,
   type Run,
 } from "./agent-run.js";
@@ -22,11 +22,11 @@
 } from "./types.js";
 
 export class AgentRuns {
-  private readonly byName = new Map<string, Run>();
-  /** By the attempt that reads it now. */
+  private readonly byId = new Map<string, Run>();
+  /** By the attempt that currently receives the answer. */
   private readonly byAttempt = new Map<string, Run>();
-  private heldBytes = 0;
-  /** Runs that aren't over. */
+  private totalBufferedBytes = 0;
+  /** Number of unfinished runs. */
   private unfinished = 0;
 
   private constructor(
@@ -47,19 +47,19 @@
     return this.unfinished;
   }
 
-  get held(): number {
-    return this.byName.size - this.unfinished;
+  get finishedCount(): number {
+    return this.byId.size - this.unfinished;
   }
 
-  get bytes(): number {
-    return this.heldBytes;
+  get bufferedBytes(): number {
+    return this.totalBufferedBytes;
   }
 
-  find(name: string): Run | undefined {
-    return this.byName.get(name);
+  find(id: string): Run | undefined {
+    return this.byId.get(id);
   }
 
-  findReader(attempt: string): Run | undefined {
+  findByAttempt(attempt: string): Run | undefined {
     return this.byAttempt.get(attempt);
   }
 
@@ -76,18 +76,18 @@
     });
   }
 
-  /** Looks for the run of an earlier incarnation at the engine. */
-  seek(frame: DispatchFrame, connection: number): void {
+  /** Resumes at the engine a run that an earlier incarnation started. */
+  recover(frame: DispatchFrame, connection: number): void {
     const run = this.add(frame.resumeOf, frame.call, frame.attempt, connection);
-    run.isFound = true;
-    run.sendFrom = frame.fromIndex;
-    this.askEngine(run, frame.deadlineMs);
+    run.isRecovered = true;
+    run.sendFromIndex = frame.fromIndex;
+    this.requestResume(run, frame.deadlineMs);
   }
 
-  /** Gives the run a new reader and sends it what is held for it. */
+  /** Attaches a new reader to the run and sends it the buffered pieces. */
   attach(run: Run, frame: DispatchFrame, connection: number): void {
-    // A caller repeated its call at another entry: the answer follows the
-    // caller, and the first entry learns that it gets no more of it.
+    // The caller repeated its request at another entry. The answer moves there,
+    // and the first entry is told that it gets no more of it.
     if (run.connection !== undefined && run.connection !== connection) {
       this.send(run, { kind: "broken", attempt: run.attempt, error: 1218 });
     }
@@ -96,88 +96,89 @@
     run.attempt = frame.attempt;
     run.connection = connection;
     run.detachedAt = Number.POSITIVE_INFINITY;
-    run.sendFrom = frame.fromIndex;
+    run.sendFromIndex = frame.fromIndex;
     if (run.status === "starting") return;
     this.send(run, { kind: "started", attempt: run.attempt });
-    if (run.base > frame.fromIndex) {
-      if (isOver(run)) this.unfinished += 1;
+    if (run.firstBufferedIndex > frame.fromIndex) {
+      if (isFinished(run)) this.unfinished += 1;
       restartAnswer(run);
-      this.askEngine(run, frame.deadlineMs);
+      this.requestResume(run, frame.deadlineMs);
       return;
     }
-    this.sendHeld(run, frame.fromIndex);
+    this.sendBuffered(run, frame.fromIndex);
   }
 
-  /** Nobody reads the runs of this connection any more. */
+  /** Marks the runs of a closed connection as having no reader. */
   detach(connection: number, now: number): void {
-    for (const run of this.byName.values()) {
+    for (const run of this.byId.values()) {
       if (run.connection !== connection) continue;
       run.connection = undefined;
       run.detachedAt = now;
     }
   }
 
-  /** Ends a repeatable run that nobody wants; true if there was one. */
+  /** Cancels a repeatable run; false if there is none for the attempt. */
   cancel(attempt: string): boolean {
     const run = this.byAttempt.get(attempt);
     if (run?.call.repeatable !== true) return false;
-    if (!isOver(run)) this.perform({ kind: "cancel-run", run: run.name });
+    if (!isFinished(run)) this.perform({ kind: "cancel-run", run: run.id });
     this.remove(run);
     return true;
   }
 
-  /** The entry needs nothing more of this attempt. */
+  /** Removes the finished run of an attempt that the entry has settled. */
   settle(attempt: string): void {
     const run = this.byAttempt.get(attempt);
-    if (run === undefined || !isOver(run) || !run.call.repeatable) return;
+    if (run === undefined || !isFinished(run) || !run.call.repeatable) return;
     this.remove(run);
   }
 
-  accepted(name: string, stream: number): void {
-    const run = this.current(name, stream);
-    if (run !== undefined) this.noteStart(run);
+  accepted(id: string, stream: number): void {
+    const run = this.findCurrent(id, stream);
+    if (run !== undefined) this.markStarted(run);
   }
 
   head(
-    name: string,
+    id: string,
     stream: number,
     status: number,
     headers: readonly Header[],
     isEndMarked: boolean,
   ): void {
-    const run = this.current(name, stream);
+    const run = this.findCurrent(id, stream);
     if (run === undefined) return;
-    this.noteStart(run);
+    this.markStarted(run);
     run.head = { status, headers, isEndMarked };
     const { attempt } = run;
     this.send(run, { kind: "head", attempt, ...run.head });
   }
 
-  piece(name: string, stream: number, data: Uint8Array): void {
-    const run = this.current(name, stream);
+  piece(id: string, stream: number, data: Uint8Array): void {
+    const run = this.findCurrent(id, stream);
     if (run === undefined) return;
-    this.noteStart(run);
-    const index = run.count;
-    this.heldBytes += holdPiece(run, data, this.limits.holdRunBytes);
-    if (index >= run.sendFrom) {
+    this.markStarted(run);
+    const index = run.pieceCount;
+    this.totalBufferedBytes += bufferPiece(run, data, this.limits.holdRunBytes);
+    if (index >= run.sendFromIndex) {
       this.send(run, { kind: "piece", attempt: run.attempt, index, data });
     }
-    if (this.heldBytes > this.limits.holdTotalBytes) this.freeMemory();
+    if (this.totalBufferedBytes > this.limits.holdTotalBytes)
+      this.freeBuffers();
   }
 
-  end(name: string, stream: number, now: number): void {
-    const run = this.current(name, stream);
+  end(id: string, stream: number, now: number): void {
+    const run = this.findCurrent(id, stream);
     if (run === undefined) return;
-    this.noteStart(run);
+    this.markStarted(run);
     run.status = "ended";
     run.endedAt = now;
     this.unfinished -= 1;
     this.sendEnd(run);
   }
 
-  /** The engine failed after the start, or can't tell whether it started. */
-  failed(name: string, stream: number, error: ErrorNumber, now: number): void {
-    const run = this.current(name, stream);
+  /** The engine failed after the start, or it is unknown whether it started. */
+  failed(id: string, stream: number, error: ErrorNumber, now: number): void {
+    const run = this.findCurrent(id, stream);
     if (run === undefined) return;
     run.status = "failed";
     run.endedAt = now;
@@ -187,71 +188,76 @@
   }
 
   /**
-   * The engine never got the work, or knows no run of this name. Returns the
-   * attempt that was refused by it.
+   * The engine never received the work, or knows no run with this ID. Returns
+   * the attempt that was refused.
    */
   notStarted(
-    name: string,
+    id: string,
     stream: number,
     error: ErrorNumber,
     retryAfterMs: number,
   ): string | undefined {
-    const run = this.current(name, stream);
+    const run = this.findCurrent(id, stream);
     if (run === undefined) return undefined;
     const { attempt } = run;
-    const told = run.isFound ? 1405 : error;
-    this.send(run, { kind: "refused", attempt, error: told, retryAfterMs });
+    const reportedError = run.isRecovered ? 1405 : error;
+    this.send(run, {
+      kind: "refused",
+      attempt,
+      error: reportedError,
+      retryAfterMs,
+    });
     this.remove(run);
     return attempt;
   }
 
-  /** Ends what nobody came back for in time. */
+  /** Removes finished runs, and cancels unread ones, after the hold time. */
   tick(now: number): void {
     const { holdMs } = this.limits;
-    for (const run of this.byName.values()) {
-      if (isOver(run)) {
+    for (const run of this.byId.values()) {
+      if (isFinished(run)) {
         if (now - run.endedAt > holdMs) this.remove(run);
       } else if (run.call.repeatable && now - run.detachedAt > holdMs) {
-        this.perform({ kind: "cancel-run", run: run.name });
+        this.perform({ kind: "cancel-run", run: run.id });
         this.remove(run);
       }
     }
   }
 
   private add(
-    name: string,
+    id: string,
     call: Call,
     attempt: string,
     connection: number,
   ): Run {
-    const run = createRun(name, call, attempt, connection);
-    this.byName.set(name, run);
+    const run = createRun(id, call, attempt, connection);
+    this.byId.set(id, run);
     this.byAttempt.set(attempt, run);
     this.unfinished += 1;
     return run;
   }
 
   private remove(run: Run): void {
-    if (!isOver(run)) this.unfinished -= 1;
-    this.heldBytes -= dropPieces(run);
-    this.byName.delete(run.name);
+    if (!isFinished(run)) this.unfinished -= 1;
+    this.totalBufferedBytes -= dropBufferedPieces(run);
+    this.byId.delete(run.id);
     this.byAttempt.delete(run.attempt);
   }
 
-  private askEngine(run: Run, deadlineMs: number): void {
-    this.heldBytes -= dropPieces(run);
-    run.base = 0;
-    const { name, stream, call } = run;
-    this.perform({ kind: "resume-run", run: name, stream, call, deadlineMs });
+  private requestResume(run: Run, deadlineMs: number): void {
+    this.totalBufferedBytes -= dropBufferedPieces(run);
+    run.firstBufferedIndex = 0;
+    const { id, stream, call } = run;
+    this.perform({ kind: "resume-run", run: id, stream, call, deadlineMs });
   }
 
-  private current(name: string, stream: number): Run | undefined {
-    const run = this.byName.get(name);
-    if (run?.stream !== stream || isOver(run)) return undefined;
+  private findCurrent(id: string, stream: number): Run | undefined {
+    const run = this.byId.get(id);
+    if (run?.stream !== stream || isFinished(run)) return undefined;
     return run;
   }
 
-  private noteStart(run: Run): void {
+  private markStarted(run: Run): void {
     if (run.status !== "starting") return;
     run.status = "running";
     this.send(run, { kind: "started", attempt: run.attempt });
@@ -263,12 +269,13 @@
     this.perform({ kind: "send", connection, frame });
   }
 
-  private sendHeld(run: Run, fromIndex: number): void {
+  private sendBuffered(run: Run, fromIndex: number): void {
     const { attempt, head } = run;
-    const base = this.without === "resume-index" ? fromIndex : run.base;
+    const firstIndex =
+      this.without === "resume-index" ? fromIndex : run.firstBufferedIndex;
     if (head !== undefined) this.send(run, { kind: "head", attempt, ...head });
-    for (let index = fromIndex; index < run.count; index += 1) {
-      const data = run.pieces[index - base];
+    for (let index = fromIndex; index < run.pieceCount; index += 1) {
+      const data = run.bufferedPieces[index - firstIndex];
       this.send(run, { kind: "piece", attempt, index, data });
     }
     if (run.status === "ended") this.sendEnd(run);
@@ -278,31 +285,31 @@
   }
 
   private sendEnd(run: Run): void {
-    const { attempt, count, checksum } = run;
-    // The head of the answer that came to its end, not of one before it.
+    const { attempt, pieceCount: count, checksum } = run;
+    // A resend replaces the head, so it belongs to the answer that ended.
     const isVouched = run.head?.isEndMarked ?? false;
     this.send(run, { kind: "end", attempt, count, checksum, isVouched });
   }
 
   /**
-   * Load: many long answers with readers that are gone. Answers that are over
-   * go first, oldest first, the repeatable ones before the others: a
-   * repeatable one can be made again, the engine can send either again. The
-   * marks of the sessions stay, so no proof becomes false.
+   * Drops buffered pieces when many long answers have no reader. Finished
+   * answers go first, oldest first, and repeatable ones before others: work
+   * that is repeatable can run again, and the engine can resend either. The
+   * sessions keep their started attempts, so replies to a close stay correct.
    */
-  private freeMemory(): void {
+  private freeBuffers(): void {
     const target = this.limits.holdTotalBytes / 2;
     for (const repeatable of [true, false]) {
-      for (const run of this.byName.values()) {
-        if (this.heldBytes <= target) return;
-        if (isOver(run) && run.call.repeatable === repeatable) {
-          this.heldBytes -= dropPieces(run);
+      for (const run of this.byId.values()) {
+        if (this.totalBufferedBytes <= target) return;
+        if (isFinished(run) && run.call.repeatable === repeatable) {
+          this.totalBufferedBytes -= dropBufferedPieces(run);
         }
       }
     }
-    for (const run of this.byName.values()) {
-      if (this.heldBytes <= target) return;
-      this.heldBytes -= dropPieces(run);
+    for (const run of this.byId.values()) {
+      if (this.totalBufferedBytes <= target) return;
+      this.totalBufferedBytes -= dropBufferedPieces(run);
     }
   }
 }
--- a/src/session/agent-session.ts
+++ b/src/session/agent-session.ts
@@ -1,23 +1,23 @@
-/** One session at its agent. */
+/** State of one session at its agent. */
 import type { SessionId } from "./types.js";
 
 export interface AgentSession {
   readonly id: SessionId;
   readonly connection: number;
-  /** False once closed: nothing more is ever started in it. */
+  /** False once closed: nothing is started in it from then on. */
   isLive: boolean;
   closedAt: number;
-  heardAt: number;
-  sentAt: number;
+  lastReceivedAt: number;
+  lastSentAt: number;
   lastSequence: number;
-  /** The entry dispatches nothing new to this leaving agent any more. */
+  /** The entry knows that the agent is leaving and sends no new work. */
   leavingSeen: boolean;
-  /** The entry has closed it and has its proof. */
-  isProved: boolean;
+  /** The entry has requested the close and has been sent the reply. */
+  isCloseConfirmed: boolean;
   /**
-   * Attempts that were started, by sequence in rising order, until the entry
-   * has settled them: the proof that a close gives. Kept apart from the runs,
-   * whose answers are dropped when memory is short.
+   * Started attempts by ascending sequence, until the entry has settled them.
+   * The reply to a close lists them. Stored apart from the runs, whose answers
+   * are dropped when memory is short.
    */
   readonly started: Map<number, string>;
 }
@@ -32,11 +32,11 @@
     connection,
     isLive: true,
     closedAt: Number.POSITIVE_INFINITY,
-    heardAt: now,
-    sentAt: now,
+    lastReceivedAt: now,
+    lastSentAt: now,
     lastSequence: 0,
     leavingSeen: false,
-    isProved: false,
+    isCloseConfirmed: false,
     started: new Map(),
   };
 }
@@ -46,10 +46,13 @@
 }
 
 /**
- * Forgets attempts that the entry has settled and returns them. A dispatch
- * below the mark that still arrives is late and must not start either.
+ * Removes and returns the attempts that the entry has settled. Also raises
+ * `lastSequence`, so that a late dispatch below `settledBelow` never starts.
  */
-export function settle(session: AgentSession, settledBelow: number): string[] {
+export function forgetSettled(
+  session: AgentSession,
+  settledBelow: number,
+): string[] {
   session.lastSequence = Math.max(session.lastSequence, settledBelow - 1);
   const settled: string[] = [];
   for (const [sequence, attempt] of session.started) {
--- a/src/session/agent-types.ts
+++ b/src/session/agent-types.ts
@@ -1,10 +1,10 @@
-/** What the agent side takes in, hands out and keeps. */
+/** Effects, options and status types of the agent's side of sessions. */
 import type { ErrorNumber } from "../shared/errors.js";
 import type { Emit } from "../shared/events.js";
 import type { SessionLimits } from "./limits.js";
 import type { AgentFrame, Call, Safeguard } from "./types.js";
 
-/** What the daemon has to carry out. */
+/** An action that the daemon has to carry out for the state machine. */
 export type AgentEffect =
   | {
       readonly kind: "send";
@@ -12,7 +12,7 @@
       readonly frame: AgentFrame;
     }
   | { readonly kind: "disconnect"; readonly connection: number }
-  /** Start the work at the engine under the name of the run. */
+  /** Start the work at the engine under the run's ID. */
   | {
       readonly kind: "start-run";
       readonly run: string;
@@ -21,8 +21,8 @@
       readonly deadlineMs: number;
     }
   /**
-   * Have the engine send the run's answer again from its first piece; what it
-   * still sends on an older stream is dropped.
+   * Ask the engine to resend the run's answer from its first piece. Data that
+   * still arrives on an older stream is dropped.
    */
   | {
       readonly kind: "resume-run";
@@ -32,7 +32,7 @@
       readonly deadlineMs: number;
     }
   | { readonly kind: "cancel-run"; readonly run: string }
-  /** A leaving agent has nothing left to do. */
+  /** A leaving agent has drained; `cutRuns` runs are still unfinished. */
   | { readonly kind: "drained"; readonly cutRuns: number };
 
 export interface StartRefusal {
@@ -44,21 +44,21 @@
   readonly runner: string;
   readonly group: string;
   readonly incarnation: string;
-  /** Can the engine send a run's answer again by its name? */
+  /** The engine can resend a run's answer by the run's ID. */
   readonly engineResumes: boolean;
-  /** The agent's own limit, the last word on new work. */
+  /** The agent's own admission limit; undefined admits the work. */
   readonly mayStart: (call: Call) => StartRefusal | undefined;
   readonly perform: (effect: AgentEffect) => void;
   readonly emit: Emit;
   readonly limits?: SessionLimits;
-  /** Tests only. */
+  /** Safeguard to disable; for tests only. */
   readonly without?: Safeguard;
 }
 
 /**
- * What the agent knows of an attempt of work that may run at most once, when
- * another entry asks. "gone": it ran, and its answer is no longer held. "lost": it was meant for an older
- * incarnation, of which nothing is known.
+ * State of an attempt of work that may run at most once, as reported to
+ * another entry. "gone": it ran, but its answer is no longer buffered. "lost":
+ * it was sent to an older incarnation, whose state is unknown.
  */
 export type AttemptState =
   "running" | "ended" | "gone" | "lost" | "withdrawn" | "unknown";
@@ -71,11 +71,11 @@
   readonly held: number;
   readonly heldBytes: number;
   readonly withdrawn: number;
-  readonly dispatches: DispatchFigures;
+  readonly dispatches: DispatchCounts;
 }
 
-/** received = started + attached + refused + dropped */
-export interface DispatchFigures {
+/** Invariant: received = started + attached + refused + dropped. */
+export interface DispatchCounts {
   readonly received: number;
   readonly started: number;
   readonly attached: number;
--- a/src/session/attempt-memory.ts
+++ b/src/session/attempt-memory.ts
@@ -1,58 +1,58 @@
 /**
- * Names of attempts that an agent must not forget: those it has withdrawn,
- * and the started ones of work that may run at most once.
+ * Bounded set of attempt IDs with a retention time. An agent keeps one for
+ * withdrawn attempts and one for started work that may run at most once.
  */
 
 export class AttemptMemory {
-  /** Attempt to the time it was added, oldest first. */
-  private readonly added = new Map<string, number>();
-  /** A name was dropped early; until then absence proves nothing. */
+  /** Time of addition by attempt ID, oldest first. */
+  private readonly addedAtByAttempt = new Map<string, number>();
+  /** An ID was evicted early: until this time, absence proves nothing. */
   private incompleteUntil = Number.NEGATIVE_INFINITY;
 
   private constructor(
-    private readonly rememberMs: number,
-    private readonly maximum: number,
+    private readonly retentionMs: number,
+    private readonly capacity: number,
   ) {}
 
-  static create(rememberMs: number, maximum: number): AttemptMemory {
-    return new AttemptMemory(rememberMs, maximum);
+  static create(retentionMs: number, capacity: number): AttemptMemory {
+    return new AttemptMemory(retentionMs, capacity);
   }
 
   get size(): number {
-    return this.added.size;
+    return this.addedAtByAttempt.size;
   }
 
   get isFull(): boolean {
-    return this.added.size >= this.maximum;
+    return this.addedAtByAttempt.size >= this.capacity;
   }
 
   has(attempt: string): boolean {
-    return this.added.has(attempt);
+    return this.addedAtByAttempt.has(attempt);
   }
 
-  /** True if a name that isn't here was never added within the time. */
+  /** True if absence proves that an ID wasn't added within the retention. */
   isComplete(now: number): boolean {
     return now >= this.incompleteUntil;
   }
 
   add(attempt: string, now: number): void {
     if (this.isFull) {
-      this.dropOldest();
-      this.incompleteUntil = now + this.rememberMs;
+      this.evictOldest();
+      this.incompleteUntil = now + this.retentionMs;
     }
-    this.added.set(attempt, now);
+    this.addedAtByAttempt.set(attempt, now);
   }
 
   tick(now: number): void {
-    for (const [attempt, addedAt] of this.added) {
-      if (now - addedAt <= this.rememberMs) return;
-      this.added.delete(attempt);
+    for (const [attempt, addedAt] of this.addedAtByAttempt) {
+      if (now - addedAt <= this.retentionMs) return;
+      this.addedAtByAttempt.delete(attempt);
     }
   }
 
-  private dropOldest(): void {
-    for (const attempt of this.added.keys()) {
-      this.added.delete(attempt);
+  private evictOldest(): void {
+    for (const attempt of this.addedAtByAttempt.keys()) {
+      this.addedAtByAttempt.delete(attempt);
       return;
     }
   }
--- a/src/session/drops.ts
+++ b/src/session/drops.ts
@@ -1,12 +1,12 @@
-/** Counts frames that were not taken, by reason. */
+/** Counts dropped frames by reason. */
 import type { Emit } from "../shared/events.js";
 import type { DropReason } from "./types.js";
 
-export type DropFigures = Readonly<Partial<Record<DropReason, number>>>;
+export type DropCounts = Readonly<Partial<Record<DropReason, number>>>;
 
 /**
- * After a cancel or a loss hundreds of late frames may follow; one event for
- * every power of two shows them without flooding the log.
+ * A cancellation or a lost session can be followed by hundreds of late frames;
+ * logging only at powers of two keeps them from flooding the log.
  */
 function isPowerOfTwo(count: number): boolean {
   return Number.isInteger(Math.log2(count));
@@ -27,7 +27,7 @@
     if (isPowerOfTwo(count)) this.emit(125, { attempt, reason, count });
   }
 
-  figures(): DropFigures {
+  figures(): DropCounts {
     return { ...this.counts };
   }
 }
--- a/src/session/entry-link.ts
+++ b/src/session/entry-link.ts
@@ -1,32 +1,32 @@
 /**
- * The entry's end of its connections to one agent: one session at a time,
- * heartbeats, silence, reconnection. A session is never reused: every new
- * connection carries the next number.
+ * The entry's connection to one agent: one session at a time, with heartbeats,
+ * silence detection and reconnection. Sessions aren't reused: every new
+ * connection opens a session with the next number.
  */
 import type { Emit } from "../shared/events.js";
 import type { Random } from "../shared/random.js";
 import type { EntryEffect, EntrySessionsOptions } from "./entry-types.js";
-import type { RequestState } from "./entry-request.js";
+import type { RequestState } from "./request-state.js";
 import type { SessionLimits } from "./limits.js";
 import type { EntryFrame, SessionId } from "./types.js";
 
-/** A session that ended while attempts were out on it. */
+/** A session that ended with attempts outstanding. */
 export interface LostSession {
   readonly session: SessionId;
   readonly attempts: Map<number, RequestState>;
   readonly giveUpAt: number;
-  /** When the close is sent again; infinite while one is under way. */
-  askAt: number;
+  /** When to send the next close; infinite while one is in flight. */
+  nextCloseAt: number;
 }
 
 type LinkState = "idle" | "connecting" | "live";
 
 export class EntryLink {
-  /** Sessions that await the agent's close, by number. */
-  readonly lost = new Map<number, LostSession>();
-  /** Requests that wait for a session to resume on. */
-  readonly resuming = new Set<RequestState>();
-  /** Attempts out on the current session, in order of dispatch. */
+  /** Sessions whose close isn't confirmed by the agent, by number. */
+  readonly lostSessions = new Map<number, LostSession>();
+  /** Requests that wait for a live session to be resumed on. */
+  readonly requestsToResume = new Set<RequestState>();
+  /** Requests with an attempt on the current session, by sequence. */
   outstanding = new Map<number, RequestState>();
   leaving = false;
   number = 0;
@@ -36,14 +36,14 @@
   private state: LinkState = "idle";
   private nextSequence = 1;
   private stateSince = 0;
-  private heardAt = 0;
-  private heartbeatAt = 0;
+  private lastReceivedAt = 0;
+  private lastHeartbeatAt = 0;
   private reconnectAt = 0;
-  private failures = 0;
+  private consecutiveFailures = 0;
 
   private constructor(
     readonly runner: string,
-    private readonly entry: Omit<
+    private readonly openFields: Omit<
       Extract<EntryFrame, { kind: "open" }>,
       "kind" | "number"
     >,
@@ -60,13 +60,13 @@
   ): EntryLink {
     const { entry, incarnation, dataCentre, release } = options;
     const { perform, random, emit } = options;
-    const opening = {
+    const openFields = {
       entry,
       entryIncarnation: incarnation,
       dataCentre,
       release,
     };
-    return new EntryLink(runner, opening, perform, random, emit, limits);
+    return new EntryLink(runner, openFields, perform, random, emit, limits);
   }
 
   get isLive(): boolean {
@@ -79,32 +79,33 @@
     this.stateSince = now;
     const { runner, number } = this;
     this.perform({ kind: "connect", runner, number });
-    this.send({ kind: "open", number, ...this.entry });
+    this.send({ kind: "open", number, ...this.openFields });
   }
 
-  /** Takes the agent's answer to the opening; false if it isn't for us. */
-  opened(session: SessionId, group: string, now: number): boolean {
+  /** Handles the reply to the opening; false if it is for another session. */
+  handleOpened(session: SessionId, group: string, now: number): boolean {
     if (this.state !== "connecting") return false;
     if (session.number !== this.number) return false;
-    if (session.entryIncarnation !== this.entry.entryIncarnation) return false;
+    if (session.entryIncarnation !== this.openFields.entryIncarnation)
+      return false;
     if (session.agentIncarnation !== this.agentIncarnation) {
       this.leaving = false;
     }
     this.agentIncarnation = session.agentIncarnation;
     this.session = session;
     this.state = "live";
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     this.nextSequence = 1;
     this.outstanding = new Map();
-    this.heardAt = now;
+    this.lastReceivedAt = now;
     const { runner } = this;
     this.emit(141, { runner, session: session.number });
     this.perform({ kind: "session-live", runner, session, group });
     return true;
   }
 
-  heard(now: number): void {
-    this.heardAt = now;
+  markReceived(now: number): void {
+    this.lastReceivedAt = now;
   }
 
   send(frame: EntryFrame): void {
@@ -112,24 +113,24 @@
     this.perform({ kind: "send", runner, number, frame });
   }
 
-  /** Sequence for the next dispatch; its request counts as outstanding. */
-  hold(request: RequestState): number {
+  /** Adds the request to the outstanding ones and returns its sequence. */
+  registerDispatch(request: RequestState): number {
     const sequence = this.nextSequence;
     this.nextSequence += 1;
-    request.holder = this.outstanding;
+    request.sessionAttempts = this.outstanding;
     request.sequence = sequence;
     this.outstanding.set(sequence, request);
     return sequence;
   }
 
   /**
-   * Tells the agent up to where every attempt is settled, so that it can
-   * forget them. The map keeps the order of dispatch: its first key is the
-   * lowest sequence still out. Sent in a steady rhythm also under load: what
-   * the agent isn't told of it has to keep.
+   * Tells the agent below which sequence every attempt is settled, so that it
+   * can free their state. The map is in order of dispatch, so its first key is
+   * the lowest outstanding sequence. Sent at a fixed interval even under load,
+   * because the agent keeps all attempts until then.
    */
   sendHeartbeat(now: number): void {
-    this.heartbeatAt = now;
+    this.lastHeartbeatAt = now;
     const lowest = this.outstanding.keys().next();
     const settledBelow =
       lowest.done === true ? this.nextSequence : lowest.value;
@@ -138,10 +139,11 @@
   }
 
   /**
-   * Ends the current connection. Attempts out on it stay in doubt until the
-   * agent has closed the session; without one there is nothing to prove.
+   * Ends the current connection. The state of its attempts is unknown until
+   * the agent confirms the close of the session. Returns undefined if there
+   * was no live session or no attempt was outstanding.
    */
-  lose(reason: string, now: number): LostSession | undefined {
+  disconnect(reason: string, now: number): LostSession | undefined {
     const { runner, number, session, outstanding } = this;
     const wasLive = this.state === "live";
     this.perform({ kind: "disconnect", runner, number });
@@ -157,13 +159,13 @@
       session,
       attempts: outstanding,
       giveUpAt: now + this.limits.doubtMs,
-      askAt: now,
+      nextCloseAt: now,
     };
-    this.lost.set(number, lost);
+    this.lostSessions.set(number, lost);
     return lost;
   }
 
-  /** Connects, keeps the session alive, and tells when it has to be lost. */
+  /** Reconnects and sends heartbeats; returns a reason to end the session. */
   tick(now: number): "silent" | "not-opened" | undefined {
     const { limits } = this;
     switch (this.state) {
@@ -173,23 +175,23 @@
       case "connecting":
         return now - this.stateSince > limits.openMs ? "not-opened" : undefined;
       case "live":
-        if (now - this.heardAt > limits.silentAfterMs) return "silent";
-        if (now - this.heartbeatAt >= limits.heartbeatMs) {
+        if (now - this.lastReceivedAt > limits.silentAfterMs) return "silent";
+        if (now - this.lastHeartbeatAt >= limits.heartbeatMs) {
           this.sendHeartbeat(now);
         }
         return undefined;
     }
   }
 
-  /** After a pause of this process nothing can be said about silence yet. */
-  forgivePause(now: number): void {
-    this.heardAt = now;
+  /** Restarts the silence timeout after a pause of this process. */
+  resetSilenceTimer(now: number): void {
+    this.lastReceivedAt = now;
   }
 
   /**
-   * A lost session is replaced at once, because its streams wait. A failed
-   * connection waits twice as long each time, with jitter: hundreds of
-   * entries reconnect when an agent or a data centre returns.
+   * Reconnects at once after a live session, because its streams are waiting.
+   * Failed connections use exponential backoff with jitter, because hundreds
+   * of entries reconnect when an agent or a data centre returns.
    */
   private scheduleReconnection(wasLive: boolean, now: number): void {
     if (wasLive) {
@@ -197,11 +199,11 @@
       return;
     }
     const { reconnectMs, reconnectMaximumMs } = this.limits;
-    const pauseMs = Math.min(
-      reconnectMs * 2 ** this.failures,
+    const backoffMs = Math.min(
+      reconnectMs * 2 ** this.consecutiveFailures,
       reconnectMaximumMs,
     );
-    this.failures += 1;
-    this.reconnectAt = now + pauseMs * (0.5 + this.random() / 2);
+    this.consecutiveFailures += 1;
+    this.reconnectAt = now + backoffMs * (0.5 + this.random() / 2);
   }
 }
--- a/src/session/entry-requests.ts
+++ b/src/session/entry-requests.ts
@@ -1,17 +1,17 @@
 /**
- * The requests of one entry: every one gets exactly one final outcome, and the
- * outcome says no more than what is proved.
+ * The requests of one entry. Each gets exactly one final outcome, which claims
+ * no more than has been proved.
  */
 import { type ErrorNumber, errorTable } from "../shared/errors.js";
 import { ConservationLedger, type Conservation } from "./ledger.js";
 import {
   createRequest,
-  isDelivered,
-  leaveRun,
-  release,
+  isPartlyDelivered,
+  outcomeFromEvidence,
+  releaseAttempt,
   type RequestState,
-  truthfulOutcome,
-} from "./entry-request.js";
+  resetRun,
+} from "./request-state.js";
 import type {
   EntrySessionsOptions,
   PreviousAttempt,
@@ -20,10 +20,13 @@
 import type { SessionLimits } from "./limits.js";
 import { isAnswer, type Call, type FinalOutcome } from "./types.js";
 
-type Tools = Pick<EntrySessionsOptions, "perform" | "mayRetry" | "emit">;
+type RequestDependencies = Pick<
+  EntrySessionsOptions,
+  "perform" | "mayRetry" | "emit"
+>;
 
-/** Stands in where the error at hand says something else than the outcome. */
-const USUAL_ERROR = {
+/** Replaces an error whose outcome differs from the request's outcome. */
+const DEFAULT_ERRORS = {
   "not-run": 1209,
   unknown: 1211,
   "broken-off": 1210,
@@ -31,19 +34,22 @@
 
 export class EntryRequests {
   readonly byId = new Map<string, RequestState>();
-  /** By current attempt. */
+  /** By the ID of the current attempt. */
   readonly byAttempt = new Map<string, RequestState>();
   private readonly ledger: ConservationLedger;
 
   private constructor(
-    private readonly tools: Tools,
+    private readonly dependencies: RequestDependencies,
     private readonly limits: SessionLimits,
   ) {
-    this.ledger = ConservationLedger.create(tools.emit);
+    this.ledger = ConservationLedger.create(dependencies.emit);
   }
 
-  static create(tools: Tools, limits: SessionLimits): EntryRequests {
-    return new EntryRequests(tools, limits);
+  static create(
+    dependencies: RequestDependencies,
+    limits: SessionLimits,
+  ): EntryRequests {
+    return new EntryRequests(dependencies, limits);
   }
 
   conservation(): Conservation {
@@ -57,82 +63,82 @@
     return request;
   }
 
-  /** Names the attempt that frames must carry from now on. */
-  nameAttempt(request: RequestState, attempt: string): void {
+  /** Sets the current attempt; frames of earlier ones are dropped. */
+  setAttempt(request: RequestState, attempt: string): void {
     this.byAttempt.delete(request.attempt);
     request.attempt = attempt;
     this.byAttempt.set(attempt, request);
   }
 
-  askForPlace(
+  requestPlacement(
     request: RequestState,
     previous: PreviousAttempt | undefined,
   ): void {
     request.phase = "placing";
-    this.tools.perform({ kind: "place", call: request.call, previous });
+    this.dependencies.perform({ kind: "place", call: request.call, previous });
   }
 
   /**
-   * The attempt is proved never to start, so the request may be placed again,
-   * repeatable or not. Bounded: when every agent refuses, the caller learns of
-   * it at once and is told when to come back.
+   * The attempt provably never starts, so even a request that isn't repeatable
+   * may be placed again. The number of dispatches is limited: if every agent
+   * refuses, the caller gets an error at once, with a time to retry after.
    */
-  placeAgain(
+  retryPlacement(
     request: RequestState,
     error: ErrorNumber,
     retryAfterMs: number,
     now: number,
   ): void {
-    const previous = this.leave(request, "refused", true);
-    if (request.placements >= this.limits.placements) {
-      this.giveUp(request, error, now, retryAfterMs);
+    const previous = this.detachRun(request, "refused", true);
+    if (request.dispatchCount >= this.limits.placements) {
+      this.failRequest(request, error, now, retryAfterMs);
       return;
     }
     const { request: id } = request.call;
-    this.tools.emit(127, { request: id, reason: "not run", error });
-    this.askForPlace(request, previous);
+    this.dependencies.emit(127, { request: id, reason: "not run", error });
+    this.requestPlacement(request, previous);
   }
 
   /**
-   * The run can't be followed any more and nobody knows what it still does.
-   * Only a repeatable request of which the caller has seen nothing may start
-   * anew: two answers can't be joined, and a call that may not be repeated
-   * could run twice. The retry allowance keeps an outage from multiplying the
-   * load on what is left.
+   * The run can't be followed any more, and its state is unknown. Only a
+   * repeatable request with nothing sent to the caller may start again: two
+   * answers can't be joined, and other requests could run twice. The retry
+   * allowance keeps an outage from multiplying the load on the remaining
+   * runners.
    */
-  abandon(
+  abandonRun(
     request: RequestState,
     error: ErrorNumber,
     result: RunResult,
     now: number,
   ): void {
-    const mayRestart = request.call.repeatable && !isDelivered(request);
-    const previous = this.leave(request, result, false);
-    const isOver =
+    const mayRestart = request.call.repeatable && !isPartlyDelivered(request);
+    const previous = this.detachRun(request, result, false);
+    const mustFail =
       !mayRestart ||
-      request.placements >= this.limits.placements ||
-      !this.tools.mayRetry(request.call);
-    if (isOver) {
-      this.giveUp(request, error, now);
+      request.dispatchCount >= this.limits.placements ||
+      !this.dependencies.mayRetry(request.call);
+    if (mustFail) {
+      this.failRequest(request, error, now);
       return;
     }
     const { request: id } = request.call;
-    this.tools.emit(127, { request: id, reason: "repeatable", error });
-    this.tools.perform({ kind: "discard", request: id });
-    this.askForPlace(request, previous);
+    this.dependencies.emit(127, { request: id, reason: "repeatable", error });
+    this.dependencies.perform({ kind: "discard", request: id });
+    this.requestPlacement(request, previous);
   }
 
-  /** Ends a request whose answer can't be had, as truthfully as is known. */
-  giveUp(
+  /** Ends a request without an answer, with the outcome that is proved. */
+  failRequest(
     request: RequestState,
     error: ErrorNumber,
     now: number,
     retryAfterMs = 0,
   ): void {
-    const outcome = truthfulOutcome(request);
-    const fits = errorTable[error].outcome === outcome;
-    const told = fits ? error : USUAL_ERROR[outcome];
-    this.finish(request, outcome, told, now, retryAfterMs);
+    const outcome = outcomeFromEvidence(request);
+    const matchesOutcome = errorTable[error].outcome === outcome;
+    const reportedError = matchesOutcome ? error : DEFAULT_ERRORS[outcome];
+    this.finish(request, outcome, reportedError, now, retryAfterMs);
   }
 
   finish(
@@ -144,17 +150,23 @@
   ): void {
     const { request: id } = request.call;
     if (request.phase === "final") {
-      this.tools.emit(104, { rule: "one-final-outcome", detail: id });
+      this.dependencies.emit(104, { rule: "one-final-outcome", detail: id });
       return;
     }
-    const pieces = request.nextIndex;
-    this.leave(request, isAnswer(outcome) ? "answered" : "lost", false);
+    const pieces = request.nextPieceIndex;
+    this.detachRun(request, isAnswer(outcome) ? "answered" : "lost", false);
     request.phase = "final";
     this.byId.delete(id);
     this.ledger.finish(outcome);
     const durationMs = now - request.acceptedAt;
-    this.tools.emit(124, { request: id, outcome, error, pieces, durationMs });
-    this.tools.perform({
+    this.dependencies.emit(124, {
+      request: id,
+      outcome,
+      error,
+      pieces,
+      durationMs,
+    });
+    this.dependencies.perform({
       kind: "finish",
       request: id,
       outcome,
@@ -164,22 +176,28 @@
   }
 
   /** Ends the current attempt and stops following its run. */
-  private leave(
+  private detachRun(
     request: RequestState,
     result: RunResult,
     provedNotRun: boolean,
   ): PreviousAttempt | undefined {
     const { attempt, run, link } = request;
-    release(request);
-    link?.resuming.delete(request);
+    releaseAttempt(request);
+    link?.requestsToResume.delete(request);
     this.byAttempt.delete(attempt);
     request.link = undefined;
-    if (provedNotRun) request.evidence = "none";
-    leaveRun(request);
+    if (provedNotRun) request.startEvidence = "none";
+    resetRun(request);
     if (link === undefined || run === "") return undefined;
     const { runner } = link;
     const { request: id } = request.call;
-    this.tools.perform({ kind: "run-over", request: id, run, runner, result });
+    this.dependencies.perform({
+      kind: "run-over",
+      request: id,
+      run,
+      runner,
+      result,
+    });
     return { attempt, runner, provedNotRun };
   }
 }
--- a/src/session/entry-sessions.ts
+++ b/src/session/entry-sessions.ts
@@ -1,7 +1,7 @@
 /**
- * The entry's side of all sessions: requests, their attempts, and the proofs
- * that decide what a caller is told. Inputs are method calls with the time;
- * what has to be done comes out through `perform`.
+ * The entry's side of all sessions: a state machine for requests, their
+ * attempts and their outcomes. Inputs are method calls with the current time;
+ * effects are passed to `perform`.
  */
 import { Left, Right, type Either } from "purify-ts";
 import {
@@ -9,25 +9,25 @@
   type ErrorNumber,
   failure,
 } from "../shared/errors.js";
-import { takeAttemptFrame, type AnswerTools } from "./entry-answers.js";
+import { handleAttemptFrame, type AnswerContext } from "./entry-answers.js";
 import { EntryAttempts } from "./entry-attempts.js";
-import { EntryDoubt } from "./entry-doubt.js";
+import { LostSessions } from "./lost-sessions.js";
 import { EntryLink } from "./entry-link.js";
 import { EntryRequests } from "./entry-requests.js";
-import { type RequestState } from "./entry-request.js";
+import { type RequestState } from "./request-state.js";
 import type {
   Dispatched,
   DispatchOptions,
   EntrySessionsOptions,
 } from "./entry-types.js";
-import { DropCounter, type DropFigures } from "./drops.js";
+import { DropCounter, type DropCounts } from "./drops.js";
 import type { Conservation } from "./ledger.js";
 import { SESSION_LIMITS, type SessionLimits } from "./limits.js";
 import type { AgentFrame, Call, CloseReply } from "./types.js";
 
 export interface EntryStatus {
   readonly conservation: Conservation;
-  readonly dropped: DropFigures;
+  readonly dropped: DropCounts;
   readonly leaving: boolean;
   readonly sessions: readonly SessionStatus[];
 }
@@ -38,22 +38,24 @@
   readonly live: boolean;
   readonly leaving: boolean;
   readonly attempts: number;
-  /** Lost sessions that the agent hasn't closed yet. */
+  /** Number of lost sessions whose close isn't confirmed yet. */
   readonly unproved: number;
 }
 
-/** Refusals by which the claims prove that a caller's key never ran. */
-const provesNotRun: ReadonlySet<ErrorNumber> = new Set([1301, 1305, 1306]);
+/** Errors by which a claim proves that an idempotency key never ran. */
+const ERRORS_PROVING_NOT_RUN: ReadonlySet<ErrorNumber> = new Set([
+  1301, 1305, 1306,
+]);
 
 export class EntrySessions {
   private readonly links = new Map<string, EntryLink>();
   private readonly requests: EntryRequests;
   private readonly attempts: EntryAttempts;
-  private readonly doubt: EntryDoubt;
+  private readonly lostSessions: LostSessions;
   private readonly drops: DropCounter;
-  private readonly answers: AnswerTools;
+  private readonly answerContext: AnswerContext;
   private leavingUntil: number | undefined;
-  private lastTick: number | undefined;
+  private lastTickAt: number | undefined;
 
   private constructor(
     private readonly options: EntrySessionsOptions,
@@ -63,9 +65,14 @@
     this.requests = EntryRequests.create(options, limits);
     const { requests } = this;
     this.attempts = EntryAttempts.create(options, requests, limits);
-    this.doubt = EntryDoubt.create(options, requests, this.attempts, limits);
+    this.lostSessions = LostSessions.create(
+      options,
+      requests,
+      this.attempts,
+      limits,
+    );
     this.drops = DropCounter.create(emit);
-    this.answers = {
+    this.answerContext = {
       perform,
       emit,
       requests,
@@ -75,7 +82,7 @@
       resume: (request, now) => {
         this.attempts.resume(request, now);
       },
-      checksIndex: without !== "piece-index",
+      checksPieceIndex: without !== "piece-index",
       checksChecksum: without !== "checksum",
       checksEndMark: without !== "end-mark",
     };
@@ -85,7 +92,7 @@
     return new EntrySessions(options, options.limits ?? SESSION_LIMITS);
   }
 
-  /** Keeps a session to the agent of this runner from now on. */
+  /** Maintains a session to the agent of this runner from now on. */
   addAgent(runner: string, now: number): void {
     if (this.links.has(runner)) return;
     const link = EntryLink.create(runner, this.options, this.limits);
@@ -93,20 +100,20 @@
     link.connect(now);
   }
 
-  /** Ends the session; its attempts are resolved as after a loss. */
+  /** Ends the session and abandons its attempts without waiting for a close. */
   removeAgent(runner: string, now: number): void {
     const link = this.links.get(runner);
     if (link === undefined) return;
-    link.lose("removed", now);
+    link.disconnect("removed", now);
     this.links.delete(runner);
-    const lost = [...link.lost.values()];
-    const doubtful = lost.flatMap(({ attempts }) => [...attempts.values()]);
-    for (const request of [...doubtful, ...link.resuming]) {
-      this.requests.abandon(request, 1211, "lost", now);
+    const lost = [...link.lostSessions.values()];
+    const unresolved = lost.flatMap(({ attempts }) => [...attempts.values()]);
+    for (const request of [...unresolved, ...link.requestsToResume]) {
+      this.requests.abandonRun(request, 1211, "lost", now);
     }
   }
 
-  /** Takes a caller's request and asks for its place. */
+  /** Accepts a caller's request and asks for its placement. */
   accept(
     call: Call,
     deadlineAt: number,
@@ -116,13 +123,13 @@
     const { request: id } = call;
     if (this.requests.byId.has(id)) return Left(failure(1201, { request: id }));
     const request = this.requests.accept(call, deadlineAt, now);
-    this.requests.askForPlace(request, undefined);
+    this.requests.requestPlacement(request, undefined);
     return Right(undefined);
   }
 
   /**
-   * Sends a placed request to a runner. Left: nothing was sent, and another
-   * runner may be chosen.
+   * Sends a placed request to a runner. Left means that nothing was sent;
+   * unless the deadline has passed, another runner may be chosen.
    */
   dispatch(
     id: string,
@@ -133,9 +140,9 @@
     const request = this.requests.byId.get(id);
     if (request?.phase !== "placing") return Left(failure(1201));
     if (now >= request.deadlineAt) {
-      // A process that slept through the deadline must not start work that
-      // its caller was told about long ago.
-      this.end(request, 1212, now);
+      // A process that was suspended past the deadline must not start work
+      // whose caller no longer waits for it.
+      this.endRequest(request, 1212, now);
       return Left(failure(1212));
     }
     const link = this.links.get(runner);
@@ -150,31 +157,31 @@
     const attempt = options.attempt ?? this.options.createAttemptId();
     request.link = link;
     request.run = options.attachTo ?? attempt;
-    request.evidence = "maybe";
-    request.placements += 1;
+    request.startEvidence = "maybe";
+    request.dispatchCount += 1;
     this.attempts.send(request, link, attempt, now);
     this.options.emit(122, { request: id, attempt, runner });
     return Right(attempt);
   }
 
-  /** Placement, admission or a claim refuses a request that waits for it. */
+  /** Placement, admission or a claim refuses a request that isn't placed. */
   refuse(id: string, error: ErrorNumber, now: number, retryAfterMs = 0): void {
     const request = this.requests.byId.get(id);
     if (request?.phase !== "placing") return;
-    if (provesNotRun.has(error)) request.earlier = "none";
-    this.requests.giveUp(request, error, now, retryAfterMs);
+    if (ERRORS_PROVING_NOT_RUN.has(error)) request.earlierEvidence = "none";
+    this.requests.failRequest(request, error, now, retryAfterMs);
   }
 
   /**
-   * The caller has gone or has stopped reading. Work that may not be repeated
-   * goes on at the agent, which holds its answer for the caller's repeat.
+   * The caller disconnected or stopped reading. Work that isn't repeatable
+   * continues at the agent, which buffers its answer for a repeated request.
    */
   cancel(id: string, now: number, error: ErrorNumber = 1218): void {
     const request = this.requests.byId.get(id);
-    if (request !== undefined) this.end(request, error, now);
+    if (request !== undefined) this.endRequest(request, error, now);
   }
 
-  /** A frame that came in on the connection of this number. */
+  /** Handles a frame from the connection with this number. */
   receive(
     runner: string,
     number: number,
@@ -183,33 +190,33 @@
   ): void {
     const link = this.links.get(runner);
     if (link?.number !== number) {
-      // A connection given up still delivers what was under way; its frames
-      // are late by definition and could cross with those of its successor.
+      // An abandoned connection can still deliver frames that were in flight.
+      // They could interleave with those of its successor.
       this.drops.count("", "connection-gone");
       return;
     }
-    if (link.isLive) link.heard(now);
+    if (link.isLive) link.markReceived(now);
     switch (frame.kind) {
       case "heartbeat":
         return;
       case "opened":
-        this.opened(link, frame, now);
+        this.handleOpened(link, frame, now);
         return;
       case "load":
         this.options.perform({ kind: "load", runner, report: frame.report });
         return;
       case "leaving":
         this.markLeaving(runner, "notice");
-        // Tells the agent that every dispatch before this has reached it.
+        // Frames are ordered, so no new dispatch follows this heartbeat.
         link.sendHeartbeat(now);
         return;
       default:
-        takeAttemptFrame(this.answers, link, frame, now);
+        handleAttemptFrame(this.answerContext, link, frame, now);
         this.afterAttemptFrame(link, frame, now);
     }
   }
 
-  /** The connection of this number failed or ended. */
+  /** The connection with this number failed or was closed. */
   connectionLost(
     runner: string,
     number: number,
@@ -218,10 +225,10 @@
   ): void {
     const link = this.links.get(runner);
     if (link?.number !== number) return;
-    this.doubt.lose(link, reason, now);
+    this.lostSessions.loseSession(link, reason, now);
   }
 
-  /** The agent's answer to the close of the session of this number. */
+  /** The agent replied to the close of the session with this number. */
   closeAnswered(
     runner: string,
     number: number,
@@ -229,15 +236,16 @@
     now: number,
   ): void {
     const link = this.links.get(runner);
-    if (link !== undefined) this.doubt.closeAnswered(link, number, reply, now);
+    if (link !== undefined)
+      this.lostSessions.closeAnswered(link, number, reply, now);
   }
 
   closeFailed(runner: string, number: number, now: number): void {
     const link = this.links.get(runner);
-    if (link !== undefined) this.doubt.closeFailed(link, number, now);
+    if (link !== undefined) this.lostSessions.closeFailed(link, number, now);
   }
 
-  /** The agent takes no new work: by its notice, the VM list or a refusal. */
+  /** The agent takes no new work, according to the given source. */
   markLeaving(runner: string, source: "notice" | "list" | "refusal"): void {
     const link = this.links.get(runner);
     if (link === undefined || link.leaving) return;
@@ -246,37 +254,37 @@
     this.options.perform({ kind: "agent-leaving", runner });
   }
 
-  /** Stops accepting; what is in flight goes on until the grace has passed. */
+  /** Stops accepting requests; those in flight have the grace period to end. */
   leave(graceMs: number, now: number): void {
     this.leavingUntil ??= now + graceMs;
   }
 
-  /** True when the process can end without cutting a request. */
+  /** True when a leaving process can exit without aborting a request. */
   get isDrained(): boolean {
     return this.leavingUntil !== undefined && this.requests.byId.size === 0;
   }
 
-  /** Requests without a final outcome. */
+  /** Number of requests without a final outcome. */
   get inFlight(): number {
     return this.requests.byId.size;
   }
 
   tick(now: number): void {
-    const pauseMs = now - (this.lastTick ?? now);
-    this.lastTick = now;
+    const pauseMs = now - (this.lastTickAt ?? now);
+    this.lastTickAt = now;
     for (const link of this.links.values()) {
-      // After a pause of this process what arrived meanwhile still waits to
-      // be read; judging silence first would drop every session at once.
-      if (pauseMs >= this.limits.silentAfterMs) link.forgivePause(now);
+      // After a pause of this process, frames that arrived meanwhile are still
+      // unread; checking for silence first would end every session at once.
+      if (pauseMs >= this.limits.silentAfterMs) link.resetSilenceTimer(now);
       this.tickLink(link, now);
     }
     for (const request of this.requests.byId.values()) {
-      if (now >= request.deadlineAt) this.end(request, 1212, now);
+      if (now >= request.deadlineAt) this.endRequest(request, 1212, now);
       else if (now >= request.giveUpAt) {
-        this.requests.abandon(request, 1210, "lost", now);
+        this.requests.abandonRun(request, 1210, "lost", now);
       }
     }
-    this.endGrace(now);
+    this.failAfterGrace(now);
     this.requests.conservation();
   }
 
@@ -291,21 +299,22 @@
         live: link.isLive,
         leaving: link.leaving,
         attempts: link.outstanding.size,
-        unproved: link.lost.size,
+        unproved: link.lostSessions.size,
       })),
     };
   }
 
-  private opened(
+  private handleOpened(
     link: EntryLink,
     frame: Extract<AgentFrame, { kind: "opened" }>,
     now: number,
   ): void {
-    if (!link.opened(frame.session, frame.group, now)) {
+    if (!link.handleOpened(frame.session, frame.group, now)) {
       this.drops.count("", "session-not-live");
       return;
     }
-    for (const request of link.resuming) this.attempts.resume(request, now);
+    for (const request of link.requestsToResume)
+      this.attempts.resume(request, now);
   }
 
   private afterAttemptFrame(
@@ -316,31 +325,36 @@
     if (frame.kind === "refused" && frame.error === 1402) {
       this.markLeaving(link.runner, "refusal");
     }
-    // A leaving agent ends when the entries need nothing more from it.
+    // Sent at once, because a leaving agent waits until all is settled.
     const isLast = frame.kind !== "piece" && link.outstanding.size === 0;
     if (link.leaving && link.isLive && isLast) link.sendHeartbeat(now);
   }
 
   private tickLink(link: EntryLink, now: number): void {
-    const trouble = link.tick(now);
-    if (trouble !== undefined) this.doubt.lose(link, trouble, now);
-    this.doubt.tick(link, now);
+    const lossReason = link.tick(now);
+    if (lossReason !== undefined)
+      this.lostSessions.loseSession(link, lossReason, now);
+    this.lostSessions.tick(link, now);
   }
 
-  /** Gives a request up for good; its work is cancelled where it may be. */
-  private end(request: RequestState, error: ErrorNumber, now: number): void {
+  /** Ends a request without an answer and cancels its work if repeatable. */
+  private endRequest(
+    request: RequestState,
+    error: ErrorNumber,
+    now: number,
+  ): void {
     const { link, attempt, call, phase } = request;
     if (phase === "dispatched" && call.repeatable && link?.isLive === true) {
       link.send({ kind: "cancel", attempt });
     }
-    const neverLeft = error === 1212 && phase === "placing";
-    this.requests.giveUp(request, neverLeft ? 1502 : error, now);
+    const wasNeverDispatched = error === 1212 && phase === "placing";
+    this.requests.failRequest(request, wasNeverDispatched ? 1502 : error, now);
   }
 
-  private endGrace(now: number): void {
+  private failAfterGrace(now: number): void {
     if (this.leavingUntil === undefined || now < this.leavingUntil) return;
     for (const request of this.requests.byId.values()) {
-      this.requests.giveUp(request, 1219, now);
+      this.requests.failRequest(request, 1219, now);
     }
   }
 }
--- a/src/session/entry-types.ts
+++ b/src/session/entry-types.ts
@@ -1,4 +1,4 @@
-/** What the entry side takes in, hands out and keeps. */
+/** Effects, options and shared types of the entry's side of sessions. */
 import type { Either } from "purify-ts";
 import type { ApricotdeckError, ErrorNumber } from "../shared/errors.js";
 import type { Emit } from "../shared/events.js";
@@ -14,9 +14,9 @@
   SessionId,
 } from "./types.js";
 
-/** What the daemon has to carry out. */
+/** An action that the daemon has to carry out for the state machine. */
 export type EntryEffect =
-  /** Open a connection for the session of this number. */
+  /** Open a connection for the session with this number. */
   | {
       readonly kind: "connect";
       readonly runner: string;
@@ -43,7 +43,7 @@
   | {
       readonly kind: "place";
       readonly call: Call;
-      /** The attempt before it, and whether it is proved never to start. */
+      /** The previous attempt of the request, if any. */
       readonly previous: PreviousAttempt | undefined;
     }
   | {
@@ -52,8 +52,8 @@
       readonly status: number;
       readonly headers: readonly Header[];
       /**
-       * The end that follows is one that can be vouched for. What goes out
-       * before the end may promise the caller a mark only then.
+       * The answer will have an explicit end mark. Only then may the response
+       * headers promise the caller that a complete answer is marked as such.
        */
       readonly isEndMarked: boolean;
     }
@@ -62,21 +62,21 @@
       readonly request: string;
       readonly data: Uint8Array;
     }
-  /** Forget head and pieces: the answer begins anew. */
+  /** Drop the head and pieces so far: the answer restarts. */
   | { readonly kind: "discard"; readonly request: string }
   | {
       readonly kind: "finish";
       readonly request: string;
       readonly outcome: FinalOutcome;
-      /** 0 when answered or unmarked. */
+      /** 0 if the outcome is answered or unmarked. */
       readonly error: ErrorNumber | 0;
       readonly retryAfterMs: number;
     }
-  /** The entry follows a run no longer, whatever became of its request. */
+  /** The entry stopped following a run; its request may continue. */
   | {
       readonly kind: "run-over";
       readonly request: string;
-      /** Attempt that started the run. */
+      /** ID of the attempt that started the run. */
       readonly run: string;
       readonly runner: string;
       readonly result: RunResult;
@@ -95,31 +95,32 @@
       readonly report: LoadReport;
     };
 
-/** "answered" also for an end that the backend server didn't mark. */
+/** "answered" includes answers without an end mark. */
 export type RunResult = "answered" | "refused" | "broken" | "lost";
 
 export interface PreviousAttempt {
   readonly attempt: string;
   readonly runner: string;
+  /** The attempt never started and never will. */
   readonly provedNotRun: boolean;
 }
 
 /**
- * What is known about the work of a request. "maybe" after a dispatch without
- * an answer to it, "started" once the agent has said so.
+ * Whether work of a request has started: "maybe" after a dispatch that the
+ * agent hasn't answered, "started" once the agent has confirmed the start.
  */
-export type Evidence = "none" | "maybe" | "started";
+export type StartEvidence = "none" | "maybe" | "started";
 
 export interface DispatchOptions {
-  /** Name of the attempt where a claim has fixed it. */
+  /** Attempt ID, if a claim determines it. */
   readonly attempt?: string;
-  /** Incarnation that a claim has fixed; another one is not dispatched to. */
+  /** Agent incarnation required by a claim; any other is an error. */
   readonly agentIncarnation?: string;
-  /** Attempt of another entry whose run is to be attached to. */
+  /** Attempt of another entry; its run is attached to, not started anew. */
   readonly attachTo?: string;
 }
 
-/** May a request whose work may have started be started again? */
+/** Decides whether work that may have started may be started again. */
 export type MayRetry = (call: Call) => boolean;
 
 export interface EntrySessionsOptions {
@@ -129,13 +130,14 @@
   readonly release: string;
   readonly perform: (effect: EntryEffect) => void;
   readonly mayRetry: MayRetry;
-  /** Unique over all entries and incarnations. */
+  /** IDs must be unique across all entries and incarnations. */
   readonly createAttemptId: () => string;
   readonly random: Random;
   readonly emit: Emit;
   readonly limits?: SessionLimits;
-  /** Tests only. */
+  /** Safeguard to disable; for tests only. */
   readonly without?: Safeguard;
 }
 
+/** The attempt ID, or the reason why nothing was sent. */
 export type Dispatched = Either<ApricotdeckError, string>;
--- a/src/session/ledger.ts
+++ b/src/session/ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Counts what became of every request of a process, so that none vanishes:
+ * Counts the outcomes of a process's requests and checks that none is lost:
  * accepted = answered + unmarked + not run + unknown + broken off + in flight.
  */
 import type { Emit } from "../shared/events.js";
@@ -9,7 +9,7 @@
 export interface Conservation {
   readonly accepted: number;
   readonly answered: number;
-  /** Passed on to an end that the backend server didn't mark. */
+  /** Forwarded to an end that the backend server didn't mark. */
   readonly unmarked: number;
   readonly notRun: number;
   readonly unknown: number;
@@ -32,7 +32,7 @@
   return accepted === Object.values(parts).reduce((a, b) => a + b, 0);
 }
 
-/** Sum over processes, for the status of data centres. */
+/** Sums the counts of two processes, for the status of a data centre. */
 export function addConservation(
   a: Conservation,
   b: Conservation,
@@ -89,8 +89,8 @@
   }
 
   /**
-   * The number in flight is counted by the holder of the requests, not here:
-   * a request lost or finished twice shows as a difference.
+   * `inFlight` is counted independently by the owner of the requests, so that
+   * a request that is lost or finished twice breaks the equation.
    */
   check(inFlight: number): Conservation {
     const figures: Conservation = {
--- a/src/session/limits.ts
+++ b/src/session/limits.ts
@@ -1,52 +1,53 @@
-/** Times and sizes of sessions. All times in milliseconds. */
+/** Timeouts, retry limits and buffer sizes of sessions; times in ms. */
 
 export interface SessionLimits {
   /**
-   * Rhythm of an entry's heartbeats, and the time without any frame after
-   * which an agent sends one.
+   * Interval of an entry's heartbeats. An agent sends a heartbeat after
+   * sending no other frame for this long.
    */
   readonly heartbeatMs: number;
-  /** A side that heard nothing for this long takes the session for lost. */
+  /** A side that receives nothing for this long ends the session. */
   readonly silentAfterMs: number;
-  /** Longest wait for the agent's answer to the opening of a session. */
+  /** Timeout for the agent's reply to the opening of a session. */
   readonly openMs: number;
-  /** First and longest pause before the next connection. */
+  /** Initial and maximum backoff between connection attempts. */
   readonly reconnectMs: number;
   readonly reconnectMaximumMs: number;
-  /** Longest wait for the proof that the close of a lost session gives. */
+  /** Timeout for the agent to confirm the close of a lost session. */
   readonly doubtMs: number;
-  /** Longest wait for a session on which a started answer can go on. */
+  /** Timeout for a new session on which a started run can be resumed. */
   readonly resumeMs: number;
-  /** Pause before an unanswered close is sent again. */
+  /** Delay before an unanswered close is retried. */
   readonly closeAgainMs: number;
-  /** Most dispatches of one request; each refusal of an agent costs one. */
+  /** Maximum dispatches of one request, including refused ones. */
   readonly placements: number;
-  /** Most resumptions of one request. */
+  /** Maximum resumptions of one request. */
   readonly resumes: number;
-  /** How long an agent holds an answer that nobody reads. */
+  /** How long an agent keeps an answer that no entry reads. */
   readonly holdMs: number;
-  /** Most bytes that an agent holds of one answer, and of all. */
+  /** Maximum bytes that an agent buffers per answer, and in total. */
   readonly holdRunBytes: number;
   readonly holdTotalBytes: number;
-  /** How long an agent can still prove a session that has ended. */
+  /** How long an agent keeps the state of a closed session. */
   readonly proofMs: number;
   /**
-   * How long, and of how many attempts each, an agent remembers that it
-   * withdrew them or started them as work that may run at most once. Longer
-   * than the longest deadline, after which no entry dispatches any more.
+   * Retention and maximum number of the attempts that an agent has withdrawn,
+   * and likewise of those that it has started as work that may run at most
+   * once. The retention exceeds the longest deadline, after which no entry
+   * dispatches the attempt any more.
    */
   readonly rememberMs: number;
   readonly rememberAttempts: number;
 }
 
 /**
- * Load: a few entries before a dozen runners, up to thousands of streams.
- * Silence shorter than two seconds is met daily (collector pauses, busy VMs);
- * taking it for loss would resume every stream of the pair. The doubt limit
- * leaves room for three closes. A started answer waits longer, because nothing
- * but the same run can complete it: time for an agent to restart, and for a
- * second connection that falls silent. An agent proves a session for far longer
- * than any entry asks.
+ * Sized for a few entries, a dozen runners and thousands of streams.
+ * Silence of less than two seconds occurs daily (garbage collection, busy VMs);
+ * treating it as a loss would resume every stream between the entry and the
+ * agent. The close timeout leaves room for three closes. The resume timeout is
+ * longer, because only the same run can complete a started answer: it leaves
+ * room for an agent restart and for a second connection that falls silent.
+ * Closed sessions are kept far longer than any entry asks about them.
  */
 export const SESSION_LIMITS: SessionLimits = {
   heartbeatMs: 500,
--- a/src/session/types.ts
+++ b/src/session/types.ts
@@ -1,10 +1,11 @@
 /**
- * Messages between an entry and an agent, and what both keep in common. The
- * daemons convert them to and from the wire; nothing here knows a socket.
+ * Messages between an entry and an agent, and types that both sides share.
+ * The daemons convert the messages to and from the wire format; this module
+ * is independent of any transport.
  */
 import type { ErrorNumber } from "../shared/errors.js";
 
-/** One session: its number rises with every connection of the pair. */
+/** Identifies a session; `number` rises with each connection of the pair. */
 export interface SessionId {
   readonly entry: string;
   /** New for every start of the entry. */
@@ -19,7 +20,7 @@
   readonly value: string;
 }
 
-/** A caller's request as it travels to the agent. */
+/** A caller's request as it is sent to the agent. */
 export interface Call {
   readonly request: string;
   readonly account: string;
@@ -28,7 +29,7 @@
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly streamed: boolean;
-  /** False for work that may run at most once. */
+  /** False for work that may run at most once (not idempotent). */
   readonly repeatable: boolean;
   readonly priority: number;
   /** Expected work in tokens (prompt and output). */
@@ -39,15 +40,15 @@
 
 export interface DispatchFrame {
   readonly kind: "dispatch";
-  /** Rises with every dispatch of the session. */
+  /** Strictly increasing within the session; detects duplicates. */
   readonly sequence: number;
   readonly attempt: string;
   readonly call: Call;
   /** Time left for the whole answer when the frame was sent. */
   readonly deadlineMs: number;
-  /** First piece wanted. */
+  /** Index of the first piece to send. */
   readonly fromIndex: number;
-  /** Attempt that started the run to go on with; empty for new work. */
+  /** Attempt that started the run to resume; empty for new work. */
   readonly resumeOf: string;
 }
 
@@ -64,9 +65,9 @@
   | { readonly kind: "cancel"; readonly attempt: string }
   | {
       readonly kind: "heartbeat";
-      /** The entry needs no proof about dispatches below this sequence. */
+      /** Every dispatch below this sequence is settled at the entry. */
       readonly settledBelow: number;
-      /** No new work follows on this session: the agent's leaving is known. */
+      /** The entry knows that the agent is leaving and sends no new work. */
       readonly leavingSeen: boolean;
     };
 
@@ -76,7 +77,7 @@
   readonly waitingTokens: number;
   readonly freeBlocks: number;
   readonly totalBlocks: number;
-  /** Age of the figures when the frame was sent. */
+  /** Age of the values when the frame was sent. */
   readonly ageMs: number;
   readonly stepMs: number;
 }
@@ -94,7 +95,7 @@
       readonly attempt: string;
       readonly status: number;
       readonly headers: readonly Header[];
-      /** The backend server marks where this answer ends. */
+      /** The backend server marks the end of this answer explicitly. */
       readonly isEndMarked: boolean;
     }
   | {
@@ -106,21 +107,21 @@
   | {
       readonly kind: "end";
       readonly attempt: string;
-      /** Pieces of the whole answer. */
+      /** Number of pieces in the whole answer. */
       readonly count: number;
       /**
-       * CRC-32 over the data of all pieces in order, as the agent read them:
-       * nothing was lost since. What the agent never got isn't in it.
+       * CRC-32 over the data of all pieces in order, as the agent read them.
+       * It detects loss between agent and entry, not what the agent never got.
        */
       readonly checksum: number;
       /**
        * The backend server marked this as the end. False when its connection
-       * merely ended: the answer is whole, or its process ended inside it.
+       * was only closed: the answer may be complete or truncated by a crash.
        */
       readonly isVouched: boolean;
     }
   | {
-      /** This attempt never started and never will. */
+      /** The attempt hasn't started and never will. */
       readonly kind: "refused";
       readonly attempt: string;
       readonly error: ErrorNumber;
@@ -135,7 +136,7 @@
   | { readonly kind: "load"; readonly report: LoadReport }
   | { readonly kind: "leaving"; readonly graceMs: number };
 
-/** Frames that answer one attempt. */
+/** Frames that belong to one attempt. */
 export type AttemptFrame = Extract<AgentFrame, { readonly attempt: string }>;
 
 export interface AttemptProgress {
@@ -144,29 +145,29 @@
   readonly ended: boolean;
 }
 
-/** What an agent answers to the close of a session. */
+/** An agent's reply to the close of a session. */
 export interface CloseReply {
-  /** False when this agent can prove nothing about the session. */
+  /** False if the agent doesn't know the session and so proves nothing. */
   readonly closed: boolean;
   readonly agentIncarnation: string;
   readonly started: readonly AttemptProgress[];
 }
 
 /**
- * "unmarked": an answer was passed on up to the end of the backend server's
- * connection, and nobody can tell whether it is whole.
+ * "unmarked": the answer was forwarded until the backend server closed its
+ * connection without an end mark, so it may be truncated.
  */
 export type FinalOutcome =
   "answered" | "unmarked" | "not-run" | "unknown" | "broken-off";
 
-/** Outcomes of a request whose answer was passed on to its end. */
+/** Outcomes of a request whose answer was forwarded to its end. */
 export function isAnswer(
   outcome: FinalOutcome,
 ): outcome is "answered" | "unmarked" {
   return outcome === "answered" || outcome === "unmarked";
 }
 
-/** Why a frame was not taken. */
+/** Why a frame was dropped. */
 export type DropReason =
   | "connection-gone"
   | "session-not-live"
@@ -176,8 +177,8 @@
   | "dispatch-doubled";
 
 /**
- * Safeguards that a test can switch off, to show that the fuzz targets notice
- * their absence. No setting leads here.
+ * Safeguards that a test can disable, to show that the fuzz targets detect
+ * their absence. No setting can disable them.
  */
 export type Safeguard =
   | "tombstone"
--- a/tests/session/end-marks.test.ts
+++ b/tests/session/end-marks.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
-import { settle, violations } from "../../fuzz/requests/oracle.js";
-import { World } from "../../fuzz/requests/world.js";
+import { runToCompletion, findViolations } from "../../fuzz/requests/oracle.js";
+import { Simulation } from "../../fuzz/requests/simulation.js";
 import { readAgentFrame } from "../../src/daemon/session-frames.js";
 import {
   EntrySessions,
@@ -14,8 +14,8 @@
 
 const RUNNER = "runner-1";
 const HEARTBEAT_MS = 500;
-const SILENT_BEATS = 6;
-const CHECKSUM_OF_NOTHING = 0;
+const SILENT_HEARTBEATS = 6;
+const EMPTY_CHECKSUM = 0;
 
 const CALL: Call = {
   request: "request-1",
@@ -35,13 +35,15 @@
 type Body = NonNullable<AgentFrame["body"]>;
 type HeadEffect = Extract<EntryEffect, { kind: "head" }>;
 
-interface Taken {
+interface ReceivedAnswer {
   readonly outcome: FinalOutcome | undefined;
   readonly isEndMarked: boolean | undefined;
 }
 
-/** What an entry makes of an answer, whose frames pass over the wire. */
-function take(frames: (attempt: string) => readonly Body[]): Taken {
+/** Passes an answer's frames through the wire format to an entry. */
+function receiveAnswer(
+  frames: (attempt: string) => readonly Body[],
+): ReceivedAnswer {
   const effects: EntryEffect[] = [];
   const entry = EntrySessions.create({
     entry: "entry-1",
@@ -83,64 +85,68 @@
   return { outcome: finish?.outcome, isEndMarked: head?.isEndMarked };
 }
 
-/** As an agent sends it; the last two fields are absent at an older one. */
-function answer(type: string, isMarked: boolean) {
+/** An agent's frames; older agents omit `endMarked` and `vouched`. */
+function answerFrames(contentType: string, isMarked: boolean) {
   return (attempt: string): readonly Body[] => {
-    const headers = [{ name: "content-type", value: type }];
-    const counted = { count: 0, checksum: CHECKSUM_OF_NOTHING };
+    const headers = [{ name: "content-type", value: contentType }];
+    const emptyAnswer = { count: 0, checksum: EMPTY_CHECKSUM };
     const status = 200;
     return [
       {
         $case: "head",
         value: { attempt, status, headers, endMarked: isMarked },
       },
-      { $case: "end", value: { attempt, ...counted, vouched: isMarked } },
+      { $case: "end", value: { attempt, ...emptyAnswer, vouched: isMarked } },
     ];
   };
 }
 
 describe("the end of an answer in a session", () => {
-  it("makes it answered where the agent vouches for it", () => {
-    const taken = take(answer("text/plain", true));
-    assert.equal(taken, { outcome: "answered", isEndMarked: true });
+  it("gives the outcome answered if the agent reports the end mark", () => {
+    const received = receiveAnswer(answerFrames("text/plain", true));
+    assert.equal(received, { outcome: "answered", isEndMarked: true });
   });
 
-  // The caller of an entry beside an older agent gets an answer without length
-  // and chunks. The agent says nothing of the end, as it doesn't look: taken as
-  // a promise, its silence would pass half an answer off as whole.
-  it("makes it unmarked where an older agent says nothing", () => {
-    const taken = take(answer("text/plain", false));
-    assert.equal(taken, { outcome: "unmarked", isEndMarked: false });
+  // An older agent doesn't check for an end mark and omits the fields. If the
+  // entry took that for a marked end, it would report a truncated answer as
+  // complete.
+  it("gives the outcome unmarked if an older agent omits the end mark", () => {
+    const received = receiveAnswer(answerFrames("text/plain", false));
+    assert.equal(received, { outcome: "unmarked", isEndMarked: false });
   });
 
-  // The caller gets its stream with the closing event, whatever release the
-  // agent has: none reports the end of a stream before that event.
-  it("is vouched for by the closing event of a stream", () => {
-    const taken = take(answer("text/event-stream; charset=utf-8", false));
-    assert.equal(taken, { outcome: "answered", isEndMarked: true });
+  // Agents of every release report the end of an event stream only after its
+  // closing event, so the event serves as the end mark.
+  it("is marked by the closing event of a stream", () => {
+    const received = receiveAnswer(
+      answerFrames("text/event-stream; charset=utf-8", false),
+    );
+    assert.equal(received, { outcome: "answered", isEndMarked: true });
   });
 
-  // The caller gets the rest of an answer after a pause, and no more certainty
-  // than without it. The connection between entry and agent falls silent; the
-  // entry resumes on another one, where count and checksum agree. They say that
-  // nothing was lost between the two, not that the agent read the whole.
-  it("stays unmarked over a resumption", () => {
-    const world = World.create({ marksEndOf: () => false });
-    const request = world.accept(world.entries[0], false, true);
-    const busy = world.connections.find(({ up }) => up.length > 0);
-    for (let step = 0; step < 3; step += 1) world.step(10);
-    if (busy !== undefined) busy.silent = true;
-    for (let beat = 0; beat < SILENT_BEATS; beat += 1) world.step(HEARTBEAT_MS);
-    settle(world);
-    assert.equal(violations(world), []);
-    const outcomes = world.callers.get(request)?.outcomes;
+  // The connection between entry and agent falls silent, and the entry resumes
+  // the run on another one. Matching count and checksum show that nothing was
+  // lost between the two, not that the agent read the complete answer.
+  it("stays unmarked after a resumption", () => {
+    const simulation = Simulation.create({ marksAnswerEnd: () => false });
+    const request = simulation.accept(simulation.entries[0], false, true);
+    const connection = simulation.connections.find(
+      ({ toAgent }) => toAgent.length > 0,
+    );
+    for (let step = 0; step < 3; step += 1) simulation.step(10);
+    if (connection !== undefined) connection.silent = true;
+    for (let heartbeat = 0; heartbeat < SILENT_HEARTBEATS; heartbeat += 1)
+      simulation.step(HEARTBEAT_MS);
+    runToCompletion(simulation);
+    assert.equal(findViolations(simulation), []);
+    const outcomes = simulation.callers.get(request)?.outcomes;
     assert.equal(
       outcomes?.map(({ outcome }) => outcome),
       ["unmarked"],
     );
   });
 
-  it("is counted apart from whole answers", () => {
+  it("is counted apart from marked answers", () => {
     const ledger = ConservationLedger.create(() => undefined);
     ledger.accept();
     ledger.accept();
--- a/tests/session/ledger.test.ts
+++ b/tests/session/ledger.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("conservation ledger", () => {
-  it("is silent while every request is accounted for", () => {
+  it("emits nothing while every request is accounted for", () => {
     const { ledger, events } = createLedger();
     for (let count = 0; count < 5; count += 1) ledger.accept();
     for (const outcome of ["answered", "not-run", "unknown"] as const) {
@@ -29,9 +29,9 @@
     assert.equal(events, []);
   });
 
-  // A request vanished: nobody holds it and no outcome was told. The operator
-  // sees event 104 with the figures.
-  it("reports a request that is neither held nor final", () => {
+  // Guards against a lost request, neither in flight nor finished. The ledger
+  // emits event 104 with its counts.
+  it("reports a request that is neither in flight nor final", () => {
     const { ledger, events } = createLedger();
     ledger.accept();
     ledger.check(0);
@@ -39,7 +39,7 @@
     assert.is(events[0][0], 104);
   });
 
-  it("adds up over data centres", () => {
+  it("sums the counts of data centres", () => {
     const figures: Conservation = { ...NO_REQUESTS, accepted: 2, inFlight: 2 };
     const sum = addConservation(figures, { ...figures, answered: 1 });
     const { accepted, answered, inFlight } = sum;
--- a/tests/session/sockets.test.ts
+++ b/tests/session/sockets.test.ts
@@ -29,13 +29,17 @@
   return site;
 }
 
-interface Streamed {
+interface StreamedCompletion {
   readonly texts: string[];
-  readonly whole: Promise<string>;
+  readonly completeText: Promise<string>;
 }
 
-/** Reads a streamed completion as the unmodified client does. */
-function startStream(site: Site, prompt: string, tokens: number): Streamed {
+/** Reads a streamed completion with the unmodified OpenAI client. */
+function startStream(
+  site: Site,
+  prompt: string,
+  tokens: number,
+): StreamedCompletion {
   const client = new OpenAI({
     apiKey: credentialOf("dyfrwr", 0),
     baseURL: `http://${site.entries[0].daemon.process.callers}/v1`,
@@ -52,24 +56,24 @@
     for await (const chunk of stream) texts.push(chunk.choices[0].text);
     return texts.join("");
   };
-  return { texts, whole: read() };
+  return { texts, completeText: read() };
 }
 
-async function until(condition: () => boolean | Promise<boolean>) {
+async function waitUntil(condition: () => boolean | Promise<boolean>) {
   while (!(await condition())) await sleep(POLL_MS);
 }
 
-/** Engine texts are "digest.index ": the answer counts up without a gap. */
-function indexesOf(text: string): number[] {
+/** Indexes of the tokens, each of which the engine sends as "digest.index ". */
+function parseIndexes(text: string): number[] {
   const words = text.trim().split(" ");
   return words.map((word) => Number(word.split(".")[1]));
 }
 
-function countingTo(tokens: number): number[] {
+function indexRange(tokens: number): number[] {
   return Array.from({ length: tokens }, (_, index) => index);
 }
 
-function startsOf(site: Site): number {
+function countStarts(site: Site): number {
   return site.runners.reduce(
     (sum, { engine }) => sum + engine.runs.started.length,
     0,
@@ -90,32 +94,31 @@
   return (await readStatus(operators)) as EntryStatus;
 }
 
-interface ShownEvent {
+interface EventRecord {
   readonly number: number;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-async function entryEvents(site: Site): Promise<readonly ShownEvent[]> {
+async function entryEvents(site: Site): Promise<readonly EventRecord[]> {
   const { operators } = site.entries[0].daemon.process;
   const answer = await fetch(`http://${operators}/events`);
-  const { events } = (await answer.json()) as { events: ShownEvent[] };
+  const { events } = (await answer.json()) as { events: EventRecord[] };
   return events;
 }
 
 describe("sessions over real sockets", () => {
-  // The caller sees its stream pause for some seconds and then go on. The
-  // relay between entry and agent loses track of the connection: writes are
-  // taken, nothing arrives. The entry notices the silence, opens a new
-  // connection, has the old session closed, and resumes from the next piece.
+  // The relay between entry and agent accepts writes but delivers nothing. The
+  // entry detects the silence, opens a new connection, has the agent close the
+  // old session, and resumes from the next piece. The caller sees a pause.
   it("completes a stream over a connection that fell silent", async () => {
     await using site = await startServingSite(1);
     const { relay } = site.runners[0];
     const tokens = 1200;
     const stream = startStream(site, "silent", tokens);
-    await until(() => stream.texts.length > 10);
+    await waitUntil(() => stream.texts.length > 10);
     assert.ok(relay.silence() > 0);
-    assert.equal(indexesOf(await stream.whole), countingTo(tokens));
-    assert.is(startsOf(site), 1);
+    assert.equal(parseIndexes(await stream.completeText), indexRange(tokens));
+    assert.is(countStarts(site), 1);
     const events = await entryEvents(site);
     const lost = events.filter(({ fields }) => fields.reason === "silent");
     assert.equal(
@@ -126,61 +129,61 @@
     assert.ok(numbers.includes(143) && numbers.includes(126));
   });
 
-  // The caller sees a pause, then the rest. The agent's process is killed and
-  // replaced; the new one doesn't know the attempt, asks the engine for it by
-  // name, and sends what the entry has not had yet.
+  // The agent's process is killed and replaced. The new one doesn't know the
+  // attempt, asks the engine for its run by ID, and sends the remaining pieces.
+  // The caller sees a pause.
   it("completes a stream although the agent was killed", async () => {
     await using site = await startServingSite(1);
     const { daemon } = site.runners[0];
     const tokens = 700;
     const stream = startStream(site, "killed", tokens);
-    await until(() => stream.texts.length > 10);
+    await waitUntil(() => stream.texts.length > 10);
     await daemon.restart();
-    assert.equal(indexesOf(await stream.whole), countingTo(tokens));
-    assert.is(startsOf(site), 1);
+    assert.equal(parseIndexes(await stream.completeText), indexRange(tokens));
+    assert.is(countStarts(site), 1);
   });
 
-  // Callers see nothing. One of two agents is told to leave under load: it
-  // takes nothing new, its answers come to their end, and its process ends by
-  // itself. Then the entry leaves in the same way.
-  it("cuts nothing when an agent and then the entry end", async () => {
+  // One of two agents receives SIGTERM under load. It refuses new work, sends
+  // its answers to their end and exits. Then the entry leaves in the same way.
+  // Callers notice nothing.
+  it("aborts no request when an agent and then the entry exit", async () => {
     await using site = await startServingSite(2);
     const [leaving] = site.runners;
     const tokens = 300;
-    const first = countingTo(20).map((index) =>
+    const first = indexRange(20).map((index) =>
       startStream(site, `first ${index}`, tokens),
     );
-    await until(() => first.every(({ texts }) => texts.length > 0));
+    await waitUntil(() => first.every(({ texts }) => texts.length > 0));
     assert.ok(leaving.engine.runs.started.length > 0);
 
     leaving.daemon.process.kill("SIGTERM");
-    await until(async () => {
+    await waitUntil(async () => {
       const { backends } = await entryStatus(site);
       return backends.filter(({ live }) => live).length === 1;
     });
     const startsBefore = leaving.engine.runs.started.length;
-    const second = countingTo(20).map((index) =>
+    const second = indexRange(20).map((index) =>
       startStream(site, `second ${index}`, tokens),
     );
-    for (const { whole } of [...first, ...second]) {
-      assert.equal(indexesOf(await whole), countingTo(tokens));
+    for (const { completeText } of [...first, ...second]) {
+      assert.equal(parseIndexes(await completeText), indexRange(tokens));
     }
     assert.is(await leaving.daemon.process.ended, 0);
     assert.is(leaving.engine.runs.started.length, startsBefore);
 
-    const third = countingTo(20).map((index) =>
+    const third = indexRange(20).map((index) =>
       startStream(site, `third ${index}`, tokens),
     );
-    await until(() => third.every(({ texts }) => texts.length > 0));
+    await waitUntil(() => third.every(({ texts }) => texts.length > 0));
     const { conservation } = await entryStatus(site);
     assert.is(conservation.accepted, 60);
     assert.is(conservation.answered + conservation.inFlight, 60);
     const entry = site.entries[0].daemon.process;
     entry.kill("SIGTERM");
-    for (const { whole } of third) {
-      assert.equal(indexesOf(await whole), countingTo(tokens));
+    for (const { completeText } of third) {
+      assert.equal(parseIndexes(await completeText), indexRange(tokens));
     }
     assert.is(await entry.ended, 0);
-    assert.is(startsOf(site), 60);
+    assert.is(countStarts(site), 60);
   });
 });
