--- a/src/daemon/agent/agent-sessions.ts
+++ b/src/daemon/agent/agent-sessions.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the agent's gate decides: one task for each connected
- * entry, one for each run of the engine.
+ * Executes the effects of the agent's gate, with one task for each connected
+ * entry and one for each engine run.
  */
 import type {
   sendUnaryData,
@@ -45,7 +45,7 @@
   readonly runner: RunnerClient;
   readonly group: string;
   readonly attemptLimit: number;
-  /** Whether the engine sends a run's answer again by its name. */
+  /** Whether the engine can resend a run's answer when asked by run id. */
   readonly engineResumes: boolean;
 }
 
@@ -57,6 +57,7 @@
 }
 
 const TICK_MS = 100;
+/** Sent with 1404 when the agent has reached its attempt limit. */
 const FULL_RETRY_AFTER_MS = 200;
 
 export class AgentSessions implements AsyncDisposable {
@@ -65,7 +66,7 @@
   private readonly runs: RunTasks;
   private readonly drained = createDeferred<number>();
   private readonly timer: NodeJS.Timeout;
-  private lastConnection = 0;
+  private lastConnectionNumber = 0;
 
   private constructor(private readonly options: AgentSessionsOptions) {
     const { context, group, attemptLimit, engineResumes } = options;
@@ -106,7 +107,7 @@
     },
   };
 
-  /** What an entry is told that repeats a call. */
+  /** Tells an entry that repeats a call what became of the earlier attempt. */
   askAttempt(question: AttemptQuestion): AttemptAnswer {
     return answerAboutAttempt(this.gate, question, performance.now());
   }
@@ -115,7 +116,7 @@
     return this.gate.running;
   }
 
-  /** Resolves with the runs that outlasted the grace. */
+  /** Resolves with the number of runs still active after the grace period. */
   async leave(graceMs: number): Promise<number> {
     this.gate.leave(graceMs, performance.now());
     return this.drained.promise;
@@ -134,21 +135,21 @@
     for (const connection of this.connections.keys()) {
       this.disconnect(connection);
     }
-    this.runs.abandon();
+    this.runs.stopReading();
     return Promise.resolve();
   }
 
   private close({ session }: CloseSessionRequest): CloseSessionReply {
     const agentIncarnation = this.options.context.incarnation;
-    const nothing = { closed: false, agentIncarnation, started: [] };
-    if (session === undefined) return writeCloseReply(nothing);
+    const notClosed = { closed: false, agentIncarnation, started: [] };
+    if (session === undefined) return writeCloseReply(notClosed);
     return writeCloseReply(this.gate.close(session, performance.now()));
   }
 
   private async serve(stream: EntryStream): Promise<void> {
     const { clock } = this.options.context;
-    this.lastConnection += 1;
-    const connection = this.lastConnection;
+    this.lastConnectionNumber += 1;
+    const connection = this.lastConnectionNumber;
     const writer = FrameWriter.create<AgentFrame>((frames) => {
       stream.write({ clock: clock.read(), frames });
     });
@@ -171,12 +172,12 @@
   }
 
   private disconnect(connection: number): void {
-    const found = this.connections.get(connection);
-    if (found === undefined) return;
+    const existing = this.connections.get(connection);
+    if (existing === undefined) return;
     this.connections.delete(connection);
-    found.writer.flush();
-    found.writer.close();
-    found.stream.end();
+    existing.writer.flush();
+    existing.writer.close();
+    existing.stream.end();
   }
 
   private perform(effect: AgentEffect): void {
--- a/src/daemon/agent/agent.ts
+++ b/src/daemon/agent/agent.ts
@@ -1,4 +1,4 @@
-/** The daemon beside one backend server. */
+/** The agent daemon, which runs next to one backend server. */
 import { pause } from "../background-task.js";
 import { ExpertBalance } from "../balance/expert-balance.js";
 import {
@@ -20,7 +20,8 @@
 import { reportLoads } from "./load-reports.js";
 import { RunnerClient } from "./runner-client.js";
 
-const LAST_FRAMES_MS = 50;
+/** Time for the last frames to leave before the connections close. */
+const FLUSH_DELAY_MS = 50;
 
 export async function startAgent(
   settings: AgentSettings,
@@ -33,7 +34,7 @@
   private readonly core: DaemonCore;
   private readonly runner: RunnerClient;
   private readonly sessions: AgentSessions;
-  /** Only where the engine's ranks run on an expert map. */
+  /** Undefined unless the engine's ranks use an expert map. */
   private readonly expertMaps: ExpertMaps | undefined;
   private readonly balance: ExpertBalance;
   private readonly engine: EngineClient;
@@ -110,8 +111,7 @@
     if (!this.core.beginLeaving()) return;
     const cutRequests = await this.sessions.leave(this.settings.graceMs);
     await this.sessions[Symbol.asyncDispose]();
-    // The last frames of the last answers are still on their way out.
-    await pause(LAST_FRAMES_MS, this.core.signal);
+    await pause(FLUSH_DELAY_MS, this.core.signal);
     this.context.emit(103, { cutRequests });
   }
 
--- a/src/daemon/agent/claim-service.ts
+++ b/src/daemon/agent/claim-service.ts
@@ -1,4 +1,6 @@
-/** Answers entries that repeat a call about the attempt that holds its claim. */
+/**
+ * Tells entries that repeat a call the state of the attempt holding its claim.
+ */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import type { AttemptAnswer, AttemptQuestion } from "../../internal.js";
 import {
@@ -22,13 +24,15 @@
       context.clock.observe(clock);
       const tombstone = request.withdraw;
       const question = { attempt, agentIncarnation, tombstone };
-      const knowledge = knowledgeOf[answer(question).kind];
+      const knowledge = knowledgeByAnswer[answer(question).kind];
       reply(null, { clock: context.clock.read(), knowledge });
     },
   };
 }
 
-const knowledgeOf: Readonly<Record<AttemptAnswer["kind"], AttemptKnowledge>> = {
+const knowledgeByAnswer: Readonly<
+  Record<AttemptAnswer["kind"], AttemptKnowledge>
+> = {
   started: AttemptKnowledge.ATTEMPT_KNOWLEDGE_STARTED,
   "answer-gone": AttemptKnowledge.ATTEMPT_KNOWLEDGE_ANSWER_GONE,
   waiting: AttemptKnowledge.ATTEMPT_KNOWLEDGE_WAITING,
--- a/src/daemon/agent/load-reports.ts
+++ b/src/daemon/agent/load-reports.ts
@@ -1,27 +1,27 @@
-/**
- * Reads the engine's load and passes it on to all entries with a session. The
- * period follows the measurement of stale reports: with reports every two
- * seconds first tokens came hardly later than with five a second.
- */
+/** Polls the engine's load and reports it to every entry with a session. */
 import { z } from "zod";
 import type { LoadReport } from "../../internal.js";
 import { pause } from "../background-task.js";
 import type { RunnerClient } from "./runner-client.js";
 
-const PERIOD_MS = 500;
+/**
+ * Fresher reports gain little: in measurements with stale reports, first tokens
+ * came hardly later with a report every two seconds than with five a second.
+ */
+const REPORT_INTERVAL_MS = 500;
 
-const count = z.number().min(0);
+const nonNegativeNumber = z.number().min(0);
 const loadSchema = z.object({
-  running: count,
-  waiting: count,
-  waitingTokens: count.default(0),
-  freeBlocks: count.default(0),
-  totalBlocks: count.default(0),
-  ageMs: count.default(0),
-  stepMs: count.default(0),
+  running: nonNegativeNumber,
+  waiting: nonNegativeNumber,
+  waitingTokens: nonNegativeNumber.default(0),
+  freeBlocks: nonNegativeNumber.default(0),
+  totalBlocks: nonNegativeNumber.default(0),
+  ageMs: nonNegativeNumber.default(0),
+  stepMs: nonNegativeNumber.default(0),
 });
 
-/** Runs until the signal aborts; throws when the engine can't be read. */
+/** Runs until the signal aborts; throws if the request to the engine fails. */
 export async function reportLoads(
   runner: RunnerClient,
   report: (load: LoadReport) => void,
@@ -31,6 +31,6 @@
     const answer = await runner.getJson("/load", signal);
     const load = loadSchema.safeParse(answer);
     if (load.success) report(load.data);
-    await pause(PERIOD_MS, signal);
+    await pause(REPORT_INTERVAL_MS, signal);
   }
 }
--- a/src/daemon/agent/run-tasks.ts
+++ b/src/daemon/agent/run-tasks.ts
@@ -1,4 +1,4 @@
-/** One task for each run of the engine: feeds its answer to the gate. */
+/** Runs one task per engine run, which feeds the answer to the gate. */
 import {
   ApricotdeckError,
   toFailure,
@@ -9,11 +9,11 @@
 
 type RunEffect = Extract<AgentEffect, { kind: "start-run" | "resume-run" }>;
 
-/** Pause that a refused caller is told where the engine names none. */
-const RETRY_AFTER_MS = 500;
+/** Retry delay sent to a caller whose run the engine didn't start. */
+const DEFAULT_RETRY_AFTER_MS = 500;
 
 export class RunTasks {
-  private readonly aborts = new Map<string, AbortController>();
+  private readonly abortControllers = new Map<string, AbortController>();
 
   private constructor(
     private readonly runner: RunnerClient,
@@ -25,29 +25,35 @@
   }
 
   run(effect: RunEffect): void {
-    // An older stream of the same run is given up; the run itself goes on.
-    this.aborts.get(effect.run)?.abort();
-    const abort = new AbortController();
-    this.aborts.set(effect.run, abort);
-    void this.read(effect, abort.signal).finally(() => {
-      if (this.aborts.get(effect.run) === abort) this.aborts.delete(effect.run);
+    // Stops reading an older stream of this run; the run itself continues.
+    this.abortControllers.get(effect.run)?.abort();
+    const controller = new AbortController();
+    this.abortControllers.set(effect.run, controller);
+    void this.readAnswer(effect, controller.signal).finally(() => {
+      if (this.abortControllers.get(effect.run) === controller)
+        this.abortControllers.delete(effect.run);
     });
   }
 
   cancel(run: string): void {
-    this.aborts.get(run)?.abort();
-    this.aborts.delete(run);
-    // The engine may have ended it already, or be gone with it.
+    this.abortControllers.get(run)?.abort();
+    this.abortControllers.delete(run);
+    // Ignored: the run may have ended already, or the engine may be down.
     this.runner.cancel(run).catch(() => undefined);
   }
 
-  /** Lets go of every stream; the engine goes on for the next agent. */
-  abandon(): void {
-    for (const abort of this.aborts.values()) abort.abort();
-    this.aborts.clear();
+  /**
+   * Stops reading every stream; the runs continue for the next agent process.
+   */
+  stopReading(): void {
+    for (const controller of this.abortControllers.values()) controller.abort();
+    this.abortControllers.clear();
   }
 
-  private async read(effect: RunEffect, signal: AbortSignal): Promise<void> {
+  private async readAnswer(
+    effect: RunEffect,
+    signal: AbortSignal,
+  ): Promise<void> {
     const { gate, runner } = this;
     const { run, stream } = effect;
     const sink: AnswerSink = {
@@ -63,15 +69,18 @@
       else await runner.start(effect, sink, signal);
       gate.runEnded(run, stream, performance.now());
     } catch (error) {
-      this.fail(effect, toFailure(error, 1216));
+      this.reportFailure(effect, toFailure(error, 1216));
     }
   }
 
-  /** Only an error that proves it says that the run never started. */
-  private fail({ run, stream }: RunEffect, { number }: ApricotdeckError): void {
+  /** Reports a run as not started only for errors that prove it. */
+  private reportFailure(
+    { run, stream }: RunEffect,
+    { number }: ApricotdeckError,
+  ): void {
     const { gate } = this;
     if (number === 1214 || number === 1405) {
-      gate.runNotStarted(run, stream, number, RETRY_AFTER_MS);
+      gate.runNotStarted(run, stream, number, DEFAULT_RETRY_AFTER_MS);
     } else {
       gate.runFailed(run, stream, number, performance.now());
     }
--- a/src/daemon/agent/runner-client.ts
+++ b/src/daemon/agent/runner-client.ts
@@ -1,7 +1,7 @@
 /**
- * HTTP client of the one backend server beside the agent: a model engine or a
- * plain service. An answer arrives as pieces: one server-sent event each for a
- * stream, a part of the body otherwise.
+ * HTTP client for the agent's backend server: a model engine or a plain
+ * service. An answer is delivered in pieces: one per server-sent event for a
+ * stream, otherwise fixed-size chunks of the body.
  */
 import { createParser } from "eventsource-parser";
 import { Agent as HttpPool, type Dispatcher } from "undici";
@@ -11,7 +11,9 @@
 import { createConnector } from "../../shared/connector.js";
 
 export interface AnswerSink {
-  /** `isEndMarked`: an end that follows is the answer's own, not a break. */
+  /**
+   * `isEndMarked`: the framing tells a complete answer from a truncated one.
+   */
   readonly head: (
     status: number,
     headers: readonly Header[],
@@ -20,23 +22,23 @@
   readonly piece: (data: Buffer) => void;
 }
 
-/** One run as the engine gets it. */
-export interface RunnerWork {
-  /** The engine's name for it. */
+/** The request that starts one run in the engine. */
+export interface RunRequest {
+  /** Id by which the engine knows the run. */
   readonly run: string;
   readonly call: Call;
   readonly deadlineMs: number;
 }
 
 const CONNECTIONS = 1024;
-const LONGEST_SILENCE_MS = 120_000;
+const IDLE_TIMEOUT_MS = 120_000;
 const END_OF_STREAM = "[DONE]";
-const PART_BYTES = 65_536;
+const PIECE_BYTES = 65_536;
 const HTTP_NOT_FOUND = 404;
 const HTTP_TOO_MANY_REQUESTS = 429;
 const HTTP_UNAVAILABLE = 503;
 
-const passedHeaders: ReadonlySet<string> = new Set([
+const forwardedHeaders: ReadonlySet<string> = new Set([
   "content-type",
   "content-language",
   "cache-control",
@@ -59,32 +61,32 @@
       connections: CONNECTIONS,
       pipelining: 1,
       connect: createConnector({}),
-      bodyTimeout: LONGEST_SILENCE_MS,
-      headersTimeout: LONGEST_SILENCE_MS,
+      bodyTimeout: IDLE_TIMEOUT_MS,
+      headersTimeout: IDLE_TIMEOUT_MS,
     });
     const origin = address.replace(/\/$/, "");
     return new RunnerClient(origin, pool, kind === "model");
   }
 
   /**
-   * Resolves when the answer has ended: whole if its head says that the end is
-   * marked, else as far as can be known. Throws 1214 when the work was never
-   * started, 1216 when it may have been and the answer broke off.
+   * Resolves when the answer has ended. It is known to be complete only if the
+   * head said that the end is marked. Throws 1214 if the run never started and
+   * 1216 if it may have started but the answer is incomplete.
    */
   async start(
-    work: RunnerWork,
+    request: RunRequest,
     sink: AnswerSink,
     signal: AbortSignal,
   ): Promise<void> {
-    const response = await this.request(requestOf(work), signal);
+    const response = await this.request(createRequestOptions(request), signal);
     if (this.isModel && isRefusal(response)) {
       await response.body.dump();
       raise(1214, { status: response.statusCode });
     }
-    await readToEnd(response, work.call.method, sink);
+    await readToEnd(response, request.call.method, sink);
   }
 
-  /** As above; throws 1405 when the engine knows no run of this name. */
+  /** Like `start`, for an existing run; throws 1405 if the engine has none. */
   async resume(
     run: string,
     sink: AnswerSink,
@@ -99,19 +101,23 @@
     await readToEnd(response, "GET", sink);
   }
 
-  async cancel(attempt: string): Promise<void> {
-    const path = `/requests/${attempt}`;
+  async cancel(run: string): Promise<void> {
+    const path = `/requests/${run}`;
     const origin = this.origin;
-    const answer = await this.pool.request({ origin, path, method: "DELETE" });
-    await answer.body.dump();
+    const response = await this.pool.request({
+      origin,
+      path,
+      method: "DELETE",
+    });
+    await response.body.dump();
   }
 
-  /** A JSON document of the runner. */
+  /** Fetches a JSON document from the runner. */
   async getJson(path: string, signal: AbortSignal): Promise<unknown> {
     const origin = this.origin;
     const method = "GET";
-    const answer = await this.pool.request({ origin, path, method, signal });
-    return answer.body.json();
+    const response = await this.pool.request({ origin, path, method, signal });
+    return response.body.json();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -126,19 +132,19 @@
     try {
       return await this.pool.request({ origin, signal, ...request });
     } catch (error) {
-      throw toFailure(error, neverConnected(error) ? 1214 : 1216);
+      throw toFailure(error, failedToConnect(error) ? 1214 : 1216);
     }
   }
 }
 
-/** Without a connection no byte of the work has left this process. */
-function neverConnected(error: unknown): boolean {
+/** Without a connection, no byte of the request has left this process. */
+function failedToConnect(error: unknown): boolean {
   if (!(error instanceof Error) || !("code" in error)) return false;
   const { code } = error;
   return code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT";
 }
 
-/** An engine that answers so has not taken the run. */
+/** With these status codes, the engine hasn't started the run. */
 function isRefusal({ statusCode }: Dispatcher.ResponseData): boolean {
   return (
     statusCode === HTTP_UNAVAILABLE || statusCode === HTTP_TOO_MANY_REQUESTS
@@ -157,11 +163,11 @@
   }
 }
 
-function requestOf({
+function createRequestOptions({
   run,
   call,
   deadlineMs,
-}: RunnerWork): Omit<Dispatcher.RequestOptions, "origin"> {
+}: RunRequest): Omit<Dispatcher.RequestOptions, "origin"> {
   const headers: Record<string, string> = {};
   for (const { name, value } of call.headers) headers[name] = value;
   headers["x-request-id"] = run;
@@ -176,48 +182,49 @@
   method: string,
   sink: AnswerSink,
 ): Promise<void> {
-  const headers = headersOf(response);
+  const headers = selectForwardedHeaders(response);
   const { statusCode } = response;
   const isStream = isClosedByEvent(headers);
   const isMarked =
     isStream || isEndMarked(statusCode, response.headers, method);
   sink.head(statusCode, headers, isMarked);
   if (isStream) await readEvents(response, sink);
-  else await readParts(response, sink);
+  else await readFixedSizePieces(response, sink);
 }
 
 /**
- * Parts of one size: a resumed answer must fall into the same pieces, however
- * the network cut it.
+ * Emits pieces of a fixed size, so that a resumed answer is split at the same
+ * offsets however the network delivers it.
  */
-async function readParts(
+async function readFixedSizePieces(
   { body }: Dispatcher.ResponseData,
   sink: AnswerSink,
 ): Promise<void> {
   let rest: Buffer = Buffer.alloc(0);
   for await (const part of body) {
-    rest = rest.length === 0 ? (part as Buffer) : joined(rest, part as Buffer);
-    while (rest.length >= PART_BYTES) {
-      sink.piece(rest.subarray(0, PART_BYTES));
-      rest = rest.subarray(PART_BYTES);
+    rest =
+      rest.length === 0 ? (part as Buffer) : concatenate(rest, part as Buffer);
+    while (rest.length >= PIECE_BYTES) {
+      sink.piece(rest.subarray(0, PIECE_BYTES));
+      rest = rest.subarray(PIECE_BYTES);
     }
   }
   if (rest.length > 0) sink.piece(rest);
 }
 
-function joined(a: Buffer, b: Buffer): Buffer {
+function concatenate(a: Buffer, b: Buffer): Buffer {
   return Buffer.concat([a, b]);
 }
 
-/** A stream without its closing event was cut, whatever HTTP says of it. */
+/** A stream without its closing event is truncated, however HTTP ended. */
 async function readEvents(
   { body }: Dispatcher.ResponseData,
   sink: AnswerSink,
 ): Promise<void> {
-  const seen = { end: false };
+  const state = { isClosed: false };
   const parser = createParser({
     onEvent: ({ data }) => {
-      if (data === END_OF_STREAM) seen.end = true;
+      if (data === END_OF_STREAM) state.isClosed = true;
       else sink.piece(Buffer.from(data));
     },
   });
@@ -227,14 +234,17 @@
       parser.feed(decoder.decode(part as Buffer, { stream: true }));
     }
   } catch (error) {
-    // After the closing event nothing is missing that could be lost.
-    if (!seen.end) throw error;
+    // After the closing event the answer is complete; the error doesn't matter.
+    if (!state.isClosed) throw error;
   }
-  if (!seen.end) raise(1216, { reason: "the stream has no closing event" });
+  if (!state.isClosed)
+    raise(1216, { reason: "the stream has no closing event" });
 }
 
-function headersOf({ headers }: Dispatcher.ResponseData): Header[] {
+function selectForwardedHeaders({
+  headers,
+}: Dispatcher.ResponseData): Header[] {
   return Object.entries(headers)
-    .filter(([name]) => passedHeaders.has(name))
+    .filter(([name]) => forwardedHeaders.has(name))
     .map(([name, value]) => ({ name, value: String(value) }));
 }
--- a/src/daemon/entry/agent-connection.ts
+++ b/src/daemon/entry/agent-connection.ts
@@ -1,4 +1,4 @@
-/** One connection of an entry to an agent, for one session number. */
+/** An entry's connection to an agent, used for a single session number. */
 import {
   Metadata,
   type ClientDuplexStream,
@@ -23,7 +23,7 @@
 import type { TransportSettings } from "../settings.js";
 import { channelOptions, clientCredentials } from "../transport.js";
 
-export interface ConnectionOptions {
+export interface AgentConnectionOptions {
   readonly context: ProcessContext;
   readonly transport: TransportSettings;
   readonly address: string;
@@ -35,7 +35,7 @@
   private readonly stream: ClientDuplexStream<EntryBatch, AgentBatch>;
   private readonly writer: FrameWriter<EntryMessage>;
 
-  private constructor(private readonly options: ConnectionOptions) {
+  private constructor(private readonly options: AgentConnectionOptions) {
     const { context } = options;
     this.client = createClient(options);
     this.stream = this.client.session();
@@ -44,7 +44,7 @@
     });
   }
 
-  static create(options: ConnectionOptions): AgentConnection {
+  static create(options: AgentConnectionOptions): AgentConnection {
     return new AgentConnection(options);
   }
 
@@ -71,7 +71,7 @@
     }
   }
 
-  /** What is still written goes nowhere; what arrives isn't read. */
+  /** Drops frames that weren't sent yet and stops reading. */
   close(): void {
     this.writer.close();
     this.stream.cancel();
@@ -80,11 +80,11 @@
 }
 
 /**
- * Closes a session over a connection of its own: the one that it ran on may
- * be silent, and a new session to the agent may not be open yet.
+ * Closes a session over a separate connection: the session's own connection
+ * may be unresponsive, and a new session may not be open yet.
  */
 export async function closeSession(
-  options: Omit<ConnectionOptions, "onFrame">,
+  options: Omit<AgentConnectionOptions, "onFrame">,
   session: SessionId,
   timeoutMs: number,
 ): Promise<CloseReply> {
@@ -94,7 +94,7 @@
     return await new Promise<CloseReply>((resolve, reject) => {
       const request = { clock: context.clock.read(), session };
       const deadline = Date.now() + timeoutMs;
-      const answered = (
+      const onReply = (
         error: ServiceError | null,
         reply: CloseSessionReply,
       ): void => {
@@ -104,7 +104,7 @@
           resolve(reply);
         }
       };
-      client.closeSession(request, new Metadata(), { deadline }, answered);
+      client.closeSession(request, new Metadata(), { deadline }, onReply);
     });
   } finally {
     client.close();
@@ -114,7 +114,7 @@
 function createClient({
   transport,
   address,
-}: Omit<ConnectionOptions, "onFrame">): AgentClient {
+}: Omit<AgentConnectionOptions, "onFrame">): AgentClient {
   const credentials = clientCredentials(transport, address);
   return new AgentClient(address, credentials, channelOptions);
 }
--- a/src/daemon/entry/answer-writer.ts
+++ b/src/daemon/entry/answer-writer.ts
@@ -1,28 +1,28 @@
 /**
- * Writes one answer to its caller. A stream goes out piece by piece; a whole
- * answer is held back until it is complete, so that a failure can still be
- * told by its status code.
+ * Writes one answer to its caller. A stream is sent piece by piece; any other
+ * answer is buffered until it is complete, so that a failure can still be
+ * reported by its status code.
  */
 import type { ServerResponse } from "node:http";
 import type { ApricotdeckError } from "../../internal.js";
 import type { Header } from "../../wire/generated/session.js";
 import type { CallerLimits } from "./request-reader.js";
 import { breakOff, endWithConnection } from "./answer-framing.js";
-import type { AnswerWriter } from "./work.js";
+import type { AnswerWriter } from "./caller-request.js";
 
 export const OUTCOME_HEADER = "apricotdeck-outcome";
 export const REQUEST_HEADER = "apricotdeck-request";
 const KEEP_ALIVE_COMMENT = ": waiting\n\n";
-const END_OF_STREAM = "data: [DONE]\n\n";
-const NO_RETRY_AFTER = 0;
+const END_OF_STREAM_EVENT = "data: [DONE]\n\n";
+const NO_RETRY_AFTER_MS = 0;
 
-export interface AnswerOptions {
+export interface AnswerWriterOptions {
   readonly request: string;
   readonly streamed: boolean;
   readonly limits: CallerLimits;
 }
 
-interface Head {
+interface ResponseHead {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly isEndMarked: boolean;
@@ -30,38 +30,38 @@
 
 export function createAnswerWriter(
   response: ServerResponse,
-  options: AnswerOptions,
+  options: AnswerWriterOptions,
 ): AnswerWriter {
-  const gone = new AbortController();
+  const callerGone = new AbortController();
   response.once("close", () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) callerGone.abort();
   });
   response.setHeader(REQUEST_HEADER, options.request);
-  const { signal } = gone;
+  const { signal } = callerGone;
   return options.streamed
-    ? streamWriter(response, options, signal)
-    : wholeWriter(response, options, signal);
+    ? createStreamWriter(response, options, signal)
+    : createBufferedWriter(response, options, signal);
 }
 
-function streamWriter(
+function createStreamWriter(
   response: ServerResponse,
-  { limits }: AnswerOptions,
+  { limits }: AnswerWriterOptions,
   signal: AbortSignal,
 ): AnswerWriter {
-  let head: Head | undefined;
-  let waiting: string[] = [];
-  let lastWriteMs = Date.now();
-  const onStall = createStallGuard(response, limits);
+  let head: ResponseHead | undefined;
+  let pendingEvents: string[] = [];
+  let lastWriteAtMs = Date.now();
+  const startStallTimer = createWriteStallTimer(response, limits);
   const flush = (): void => {
-    if (waiting.length === 0 || response.destroyed) return;
-    const text = waiting.join("");
-    waiting = [];
-    lastWriteMs = Date.now();
-    if (!response.write(text)) onStall();
+    if (pendingEvents.length === 0 || response.destroyed) return;
+    const text = pendingEvents.join("");
+    pendingEvents = [];
+    lastWriteAtMs = Date.now();
+    if (!response.write(text)) startStallTimer();
   };
   const keepAlive = setInterval(() => {
     if (!response.headersSent || response.destroyed) return;
-    if (Date.now() - lastWriteMs >= limits.keepAliveMs) {
+    if (Date.now() - lastWriteAtMs >= limits.keepAliveMs) {
       response.write(KEEP_ALIVE_COMMENT);
     }
   }, limits.keepAliveMs);
@@ -75,50 +75,50 @@
     },
     piece: (data) => {
       if (!response.headersSent) startStream(response, head);
-      waiting.push(eventOf(data.toString()));
-      // Pieces of one turn of the event loop share one write.
-      if (waiting.length === 1) setImmediate(flush);
+      pendingEvents.push(formatEvent(data.toString()));
+      // Batches the pieces of one event-loop turn into one write.
+      if (pendingEvents.length === 1) setImmediate(flush);
     },
     discard: () => {
       head = undefined;
     },
-    end: (isVouched) => {
+    end: (isEndConfirmed) => {
       if (!response.headersSent) startStream(response, head);
-      if (isVouched) waiting.push(END_OF_STREAM);
+      if (isEndConfirmed) pendingEvents.push(END_OF_STREAM_EVENT);
       flush();
-      if (mayEnd(response, isVouched)) response.end();
-      else breakOffAfter(response, KEEP_ALIVE_COMMENT);
+      if (canEndNormally(response, isEndConfirmed)) response.end();
+      else breakOffAfterWriting(response, KEEP_ALIVE_COMMENT);
     },
-    fail: (error, retryAfterMs = NO_RETRY_AFTER) => {
+    fail: (error, retryAfterMs = NO_RETRY_AFTER_MS) => {
       flush();
-      if (response.headersSent) breakStream(response, error, retryAfterMs);
+      if (response.headersSent) breakOffStream(response, error, retryAfterMs);
       else sendError(response, error, retryAfterMs);
     },
   };
 }
 
-function wholeWriter(
+function createBufferedWriter(
   response: ServerResponse,
-  { limits }: AnswerOptions,
+  { limits }: AnswerWriterOptions,
   signal: AbortSignal,
 ): AnswerWriter {
   let status = 200;
   let isEndMarked = false;
   let parts: Buffer[] = [];
   let size = 0;
-  /** The reset comes after a pause, in which a later attempt may answer. */
-  let isCut = false;
-  const onStall = createStallGuard(response, limits);
+  /** Ignores a later attempt's answer during the delay before the reset. */
+  let isBrokenOff = false;
+  const startStallTimer = createWriteStallTimer(response, limits);
   return {
     signal,
     head: (code, headers, isMarked) => {
-      if (isCut) return;
+      if (isBrokenOff) return;
       status = code;
       isEndMarked = isMarked;
       for (const { name, value } of headers) response.setHeader(name, value);
     },
     piece: (data) => {
-      if (isCut) return;
+      if (isBrokenOff) return;
       size += data.length;
       if (size <= limits.answerBytes) {
         parts.push(data);
@@ -130,34 +130,37 @@
       }
       for (const part of parts) response.write(part);
       parts = [];
-      if (!response.write(data)) onStall();
+      if (!response.write(data)) startStallTimer();
     },
     discard: () => {
-      // A part too large to hold back is with the caller already: the answer
-      // is cut, which the request sees as a caller that is gone.
+      // The answer exceeded the buffer and was partly sent, so it can't start
+      // over. The request sees the broken connection as a caller disconnect.
       if (response.headersSent) {
-        isCut = true;
+        isBrokenOff = true;
         breakOff(response);
       }
       parts = [];
       size = 0;
     },
-    end: (isVouched) => {
-      if (isCut) return;
+    end: (isEndConfirmed) => {
+      if (isBrokenOff) return;
       if (response.headersSent) {
-        if (mayEnd(response, isVouched)) response.end();
+        if (canEndNormally(response, isEndConfirmed)) response.end();
         else breakOff(response);
         return;
       }
       const body = Buffer.concat(parts);
-      if (isVouched) response.setHeader("content-length", body.length);
+      if (isEndConfirmed) response.setHeader("content-length", body.length);
       else endWithConnection(response);
-      response.setHeader(OUTCOME_HEADER, isVouched ? "answered" : "unmarked");
+      response.setHeader(
+        OUTCOME_HEADER,
+        isEndConfirmed ? "answered" : "unmarked",
+      );
       response.writeHead(status);
       response.end(body);
     },
-    fail: (error, retryAfterMs = NO_RETRY_AFTER) => {
-      // Closing without the end of the body: never looks complete.
+    fail: (error, retryAfterMs = NO_RETRY_AFTER_MS) => {
+      // Without the end of its body, the answer can't look complete.
       if (response.headersSent) breakOff(response);
       else sendError(response, error, retryAfterMs);
     },
@@ -165,29 +168,35 @@
 }
 
 /**
- * Each line of the data is one of the event: a line without its name would be
- * lost to the caller, and an empty one would end the event early.
+ * Prefixes every line with the field name: the caller would ignore a line
+ * without it, and an empty line would end the event early.
  */
-function eventOf(data: string): string {
+function formatEvent(data: string): string {
   return `data: ${data.replaceAll("\n", "\ndata: ")}\n\n`;
 }
 
 /**
- * Ending in good order marks the end of what went out in chunks, so it takes
- * somebody who vouches for it. Without chunks it says nothing, which is right.
+ * With chunked coding, a normal end marks the answer as complete and therefore
+ * needs a confirmed end. Without it, a normal end makes no such claim.
  */
-function mayEnd(response: ServerResponse, isVouched: boolean): boolean {
-  return isVouched || !response.chunkedEncoding;
+function canEndNormally(
+  response: ServerResponse,
+  isEndConfirmed: boolean,
+): boolean {
+  return isEndConfirmed || !response.chunkedEncoding;
 }
 
-/** Breaks the answer off once the text and all before it have left. */
-function breakOffAfter(response: ServerResponse, text: string): void {
+/** Breaks the answer off once the text and everything before it were sent. */
+function breakOffAfterWriting(response: ServerResponse, text: string): void {
   response.write(text, () => {
     breakOff(response);
   });
 }
 
-function startStream(response: ServerResponse, head: Head | undefined): void {
+function startStream(
+  response: ServerResponse,
+  head: ResponseHead | undefined,
+): void {
   if (head?.isEndMarked !== true) endWithConnection(response);
   for (const { name, value } of head?.headers ?? []) {
     response.setHeader(name, value);
@@ -196,30 +205,30 @@
 }
 
 /**
- * The error event has no closing event behind it, and the connection is cut
- * before the end of the body, so neither a client that reads events nor one
- * that reads bytes takes the answer for whole.
+ * Sends an error event without a closing event and breaks the connection before
+ * the end of the body, so that neither a client that reads events nor one that
+ * reads bytes takes the answer for complete.
  */
-function breakStream(
+function breakOffStream(
   response: ServerResponse,
   error: ApricotdeckError,
   retryAfterMs: number,
 ): void {
-  const body = JSON.stringify(errorBody(error, retryAfterMs));
-  breakOffAfter(response, `event: error\ndata: ${body}\n\n`);
+  const body = JSON.stringify(createErrorBody(error, retryAfterMs));
+  breakOffAfterWriting(response, `event: error\ndata: ${body}\n\n`);
 }
 
 export function sendError(
   response: ServerResponse,
   error: ApricotdeckError,
-  retryAfterMs = NO_RETRY_AFTER,
+  retryAfterMs = NO_RETRY_AFTER_MS,
 ): void {
   if (response.headersSent || response.destroyed) {
     breakOff(response);
     return;
   }
   const { entry } = error;
-  const body = JSON.stringify(errorBody(error, retryAfterMs));
+  const body = JSON.stringify(createErrorBody(error, retryAfterMs));
   response.setHeader("content-type", "application/json");
   response.setHeader(OUTCOME_HEADER, entry.outcome);
   if (retryAfterMs > 0) {
@@ -231,7 +240,10 @@
   response.end(body);
 }
 
-function errorBody(error: ApricotdeckError, retryAfterMs: number): object {
+function createErrorBody(
+  error: ApricotdeckError,
+  retryAfterMs: number,
+): object {
   const { name, outcome } = error.entry;
   return {
     error: {
@@ -245,22 +257,22 @@
 }
 
 /**
- * A caller that stops reading would hold its answer in memory for ever; after
- * the stall limit the connection is cut, which the request sees as a caller
- * that is gone. One guard at a time is enough: it ends when all that was
- * written has left, whatever was added meanwhile.
+ * Bounds how long a caller that stops reading keeps its answer in memory: after
+ * the stall limit the answer is broken off, which the request sees as a caller
+ * disconnect. One timer suffices, since it is cleared only when everything
+ * written has drained.
  */
-function createStallGuard(
+function createWriteStallTimer(
   response: ServerResponse,
   { writeStallMs }: CallerLimits,
 ): () => void {
   let timer: NodeJS.Timeout | undefined;
-  const release = (): void => {
+  const clearTimer = (): void => {
     clearTimeout(timer);
     timer = undefined;
   };
-  response.on("drain", release);
-  response.once("close", release);
+  response.on("drain", clearTimer);
+  response.once("close", clearTimer);
   return () => {
     timer ??= setTimeout(() => {
       breakOff(response);
--- a/src/daemon/entry/claim-asker.ts
+++ b/src/daemon/entry/attempt-query.ts
@@ -1,4 +1,7 @@
-/** Asks an agent about an attempt that holds the claim of a repeated call. */
+/**
+ * Asks an agent for the state of the attempt that holds a repeated call's
+ * claim.
+ */
 import { Metadata } from "@grpc/grpc-js";
 import type { AttemptAnswer, ClaimEntry } from "../../internal.js";
 import {
@@ -10,21 +13,21 @@
 import type { TransportSettings } from "../settings.js";
 import { channelOptions, clientCredentials } from "../transport.js";
 
-const ASK_TIMEOUT_MS = 500;
+const QUERY_TIMEOUT_MS = 500;
 
-export interface ClaimAskerOptions {
+export interface AttemptQueryOptions {
   readonly context: ProcessContext;
   readonly transport: TransportSettings;
-  /** host:port of an agent by its name; undefined when it isn't known. */
+  /** Returns an agent's host:port by its name; undefined if it isn't known. */
   readonly addressOf: (agent: string) => string | undefined;
 }
 
 /**
- * Every question has a connection of its own: questions are rare, and a session
- * that fell silent is a reason to ask.
+ * Opens a connection per query: queries are rare, and often made because the
+ * session to the agent is unresponsive.
  */
-export async function askAgent(
-  { context, transport, addressOf }: ClaimAskerOptions,
+export async function queryAttempt(
+  { context, transport, addressOf }: AttemptQueryOptions,
   claim: ClaimEntry,
   withdraw: boolean,
 ): Promise<AttemptAnswer> {
@@ -35,7 +38,7 @@
   const { attempt, agentIncarnation } = claim;
   const clock = context.clock.read();
   const request = { clock, attempt, agentIncarnation, withdraw };
-  const deadline = Date.now() + ASK_TIMEOUT_MS;
+  const deadline = Date.now() + QUERY_TIMEOUT_MS;
   const reply = await new Promise<AskAttemptReply | undefined>((resolve) => {
     client.askAttempt(request, new Metadata(), { deadline }, (error, value) => {
       resolve(error === null ? value : undefined);
@@ -43,10 +46,10 @@
   });
   client.close();
   context.clock.observe(reply?.clock);
-  return answerOf(reply?.knowledge);
+  return readKnowledge(reply?.knowledge);
 }
 
-function answerOf(knowledge: AttemptKnowledge | undefined): AttemptAnswer {
+function readKnowledge(knowledge: AttemptKnowledge | undefined): AttemptAnswer {
   switch (knowledge) {
     case AttemptKnowledge.ATTEMPT_KNOWLEDGE_STARTED:
       return { kind: "started" };
--- a/src/daemon/entry/backend-directory.ts
+++ b/src/daemon/entry/backend-directory.ts
@@ -1,12 +1,12 @@
 /**
- * Follows the platform's list of VMs and keeps a session to each backend
- * server on it.
+ * Polls the platform's VM list and keeps a session to each backend server on
+ * it.
  */
 import { readVmList, type Vm } from "../../platform/vm-list-client.js";
 import { pause } from "../background-task.js";
 import type { RunnerSession, Sessions } from "./sessions.js";
 
-/** The list lags by seconds itself; reading faster would show nothing new. */
+/** The list itself lags by seconds, so faster polling shows nothing new. */
 const LIST_INTERVAL_MS = 500;
 
 export interface Backend {
@@ -21,7 +21,7 @@
 
 export class BackendDirectory {
   private readonly vms = new Map<string, Vm>();
-  private entries = 1;
+  private liveEntries = 1;
 
   private constructor(private readonly options: BackendDirectoryOptions) {}
 
@@ -29,12 +29,14 @@
     return new BackendDirectory(options);
   }
 
-  /** Live entries, this one included, as the lagging list has them. */
+  /**
+   * Number of live entries on the list, including this one; lags by seconds.
+   */
   get entryCount(): number {
-    return this.entries;
+    return this.liveEntries;
   }
 
-  all(): Backend[] {
+  list(): Backend[] {
     const { sessions } = this.options;
     return [...this.vms.values()].map((vm) => ({
       vm,
@@ -42,12 +44,12 @@
     }));
   }
 
-  /** host:port of an agent. */
+  /** Returns the agent's host:port, or undefined if the agent isn't listed. */
   addressOf(name: string): string | undefined {
     return this.vms.get(name)?.address;
   }
 
-  /** Follows the list until the signal aborts. */
+  /** Polls the list until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const vms = await readVmList(this.options.vmList);
@@ -56,8 +58,8 @@
       const entries = vms.filter(
         ({ role, state }) => role === "entry" && state === "live",
       );
-      this.entries = Math.max(1, entries.length);
-      this.dropMissing(new Set(backends.map(({ name }) => name)));
+      this.liveEntries = Math.max(1, entries.length);
+      this.removeUnlisted(new Set(backends.map(({ name }) => name)));
       await pause(LIST_INTERVAL_MS, signal);
     }
   }
@@ -69,8 +71,10 @@
     if (vm.state !== "live") sessions.markLeaving(vm.name);
   }
 
-  /** A VM off the list keeps its session while work runs on it. */
-  private dropMissing(listed: ReadonlySet<string>): void {
+  /**
+   * A VM that left the list keeps its session while it has requests in flight.
+   */
+  private removeUnlisted(listed: ReadonlySet<string>): void {
     const { sessions } = this.options;
     for (const name of this.vms.keys()) {
       const inFlight = sessions.session(name)?.inFlight ?? 0;
--- a/src/daemon/entry/work.ts
+++ b/src/daemon/entry/caller-request.ts
@@ -1,8 +1,10 @@
-/** A caller's request after it was read, authenticated and resolved. */
+/**
+ * A caller's authenticated and parsed request, and the writer of its answer.
+ */
 import type { ApricotdeckError, Profile } from "../../internal.js";
 import type { Header } from "../../wire/generated/session.js";
 
-export interface Work {
+export interface CallerRequest {
   readonly id: string;
   readonly account: string;
   readonly profile: Profile;
@@ -10,13 +12,13 @@
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Buffer;
-  /** The caller wants server-sent events. */
+  /** The caller asked for server-sent events. */
   readonly streamed: boolean;
   /** Empty for plain services. */
   readonly model: string;
-  /** Text whose prefixes the engines cache; empty for plain services. */
+  /** Prompt text, whose prefixes engines cache; empty for plain services. */
   readonly prompt: string;
-  /** Expected work in tokens: prompt and longest output. */
+  /** Upper estimate in tokens: prompt plus longest output. */
   readonly costTokens: number;
   readonly acceptedAtMs: number;
   readonly deadlineAtMs: number;
@@ -24,21 +26,21 @@
   readonly idempotencyKey: string;
 }
 
-/** Takes the answer of one request towards its caller. */
+/** Receives the answer to one request and writes it to the caller. */
 export interface AnswerWriter {
-  /** `isEndMarked`: the caller may be promised a mark of the answer's end. */
+  /** `isEndMarked`: the answer's framing may tell the caller where it ends. */
   readonly head: (
     status: number,
     headers: readonly Header[],
     isEndMarked: boolean,
   ) => void;
   readonly piece: (data: Buffer) => void;
-  /** Forgets what it has so far: the answer begins anew. */
+  /** Drops the answer received so far, since another attempt starts over. */
   readonly discard: () => void;
-  /** The answer has ended; if not vouched for, it may be a part of a whole. */
-  readonly end: (isVouched: boolean) => void;
-  /** The final answer is a failure; goes out at once. */
+  /** Ends the answer; without a confirmed end it may be truncated. */
+  readonly end: (isEndConfirmed: boolean) => void;
+  /** Ends the request with an error, sent immediately. */
   readonly fail: (error: ApricotdeckError, retryAfterMs?: number) => void;
-  /** Aborts when the caller is gone. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
 }
--- a/src/daemon/entry/caller-server.ts
+++ b/src/daemon/entry/caller-server.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' address of an entry. Limits on head, body, time and
- * connections keep one careless or hostile caller from holding the others up.
+ * HTTP server of an entry for its callers. Limits on head size, body size, time
+ * and connections keep one faulty or hostile caller from blocking the others.
  */
 import {
   createServer,
@@ -18,20 +18,23 @@
 import { createAnswerWriter, sendError } from "./answer-writer.js";
 import {
   authenticate,
-  isOpenTo,
+  isProfileAllowed,
   pathOf,
-  readWork,
+  readCallerRequest,
   type CallerLimits,
 } from "./request-reader.js";
 import { answerUnreadable } from "./unreadable-request.js";
-import type { AnswerWriter, Work } from "./work.js";
+import type { AnswerWriter, CallerRequest } from "./caller-request.js";
 
 export interface CallerServerOptions {
   readonly limits: CallerLimits;
   /** Throws 1103 before a configuration is in force. */
   readonly configuration: () => Configuration;
   readonly isLeaving: () => boolean;
-  readonly serve: (work: Work, writer: AnswerWriter) => Promise<void>;
+  readonly serve: (
+    callerRequest: CallerRequest,
+    writer: AnswerWriter,
+  ) => Promise<void>;
 }
 
 const MODELS_PATH = "/v1/models";
@@ -46,7 +49,7 @@
       connectionsCheckingInterval: Math.min(1000, limits.receiveMs),
     },
     (request, response) => {
-      void handle(request, response, options);
+      void handleRequest(request, response, options);
     },
   );
   server.maxConnections = limits.connections;
@@ -54,7 +57,7 @@
   return server;
 }
 
-async function handle(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: CallerServerOptions,
@@ -71,22 +74,26 @@
       sendModels(request, response, configuration);
       return;
     }
-    const work = await readWork(request, configuration, options.limits);
-    const { id, streamed } = work;
+    const callerRequest = await readCallerRequest(
+      request,
+      configuration,
+      options.limits,
+    );
+    const { id, streamed } = callerRequest;
     const { limits } = options;
     const writer = createAnswerWriter(response, {
       request: id,
       streamed,
       limits,
     });
-    await options.serve(work, writer);
+    await options.serve(callerRequest, writer);
   } catch (error) {
-    refuse(request, response, toFailure(error, 1215));
+    sendRefusal(request, response, toFailure(error, 1215));
   }
 }
 
-/** The unread rest of a body isn't waited for: the connection closes. */
-function refuse(
+/** Closes the connection instead of waiting for the unread rest of a body. */
+function sendRefusal(
   request: IncomingMessage,
   response: ServerResponse,
   error: ApricotdeckError,
@@ -103,7 +110,7 @@
   if (request.method !== "GET") raise(1208);
   const account = authenticate(request, configuration);
   const models = configuration.profiles
-    .filter((profile) => isOpenTo(profile, account))
+    .filter((profile) => isProfileAllowed(profile, account))
     .flatMap(({ target }) => (target.kind === "model" ? [target.model] : []));
   const data = [...new Set(models)].map((id) => ({
     id,
--- a/src/daemon/entry/claim-tasks.ts
+++ b/src/daemon/entry/claim-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the claim coordinator decides: reads and appends the claim
- * streams, asks agents and hands each call its next step.
+ * Executes the effects of the claim coordinator: reads and appends to the claim
+ * streams, queries agents and reports each call's next step.
  */
 import { v7 as uuidV7 } from "uuid";
 import {
@@ -21,11 +21,11 @@
 import type { ProcessContext } from "../process-context.js";
 
 const LONG_POLL_MS = 2000;
-const RETRY_PAUSE_MS = 200;
-const BUSY_TICK_MS = 10;
+const READ_RETRY_MS = 200;
+const ACTIVE_TICK_MS = 10;
 const IDLE_TICK_MS = 100;
 
-/** What a call has to do next. */
+/** The next step of a call: dispatch it, attach to an attempt or refuse it. */
 export type ClaimStep = Extract<
   ClaimEffect,
   { readonly kind: "dispatch" | "attach" | "refuse" }
@@ -50,7 +50,7 @@
 export class ClaimTasks {
   private readonly coordinator: ClaimCoordinator;
   private readonly calls = new Map<string, WaitingCall>();
-  private readonly outages = new Map<number, number>();
+  private readonly outageStartsMs = new Map<number, number>();
 
   private constructor(private readonly options: ClaimTasksOptions) {
     const { context, appendsPerSecond } = options;
@@ -68,7 +68,7 @@
     return new ClaimTasks(options);
   }
 
-  /** `onStep` hears of every step of the call until its end. */
+  /** Starts a claim; `onStep` is called for each step until the call ends. */
   begin(
     request: ClaimRequest,
     choose: () => AgentChoice | undefined,
@@ -76,50 +76,50 @@
   ): void {
     const begunAtMs = Date.now();
     this.calls.set(request.call, { choose, onStep, begunAtMs });
-    this.perform(this.coordinator.begin(request, Date.now()));
+    this.performAll(this.coordinator.begin(request, Date.now()));
   }
 
-  /** The dispatched attempt never starts; another step follows. */
-  refused(call: string): void {
-    this.perform(this.coordinator.onRefused(call, Date.now()));
+  /** Reports that the dispatched attempt never starts; another step follows. */
+  onRefused(call: string): void {
+    this.performAll(this.coordinator.onRefused(call, Date.now()));
   }
 
-  /** The call has its outcome. */
+  /** Reports that the call has its final outcome. */
   end(call: string): void {
     if (!this.calls.delete(call)) return;
-    this.perform(this.coordinator.end(call, Date.now()));
+    this.performAll(this.coordinator.end(call, Date.now()));
   }
 
-  /** Follows one shard's stream until the signal aborts. */
+  /** Reads one shard's stream until the signal aborts. */
   async readShard(shard: number, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const isDown = this.outages.has(shard);
+      const hasOutage = this.outageStartsMs.has(shard);
       try {
         const page = await this.options.log.read(claimStream(shard), {
           from: this.coordinator.nextOffset(shard),
-          waitMs: isDown ? 0 : LONG_POLL_MS,
+          waitMs: hasOutage ? 0 : LONG_POLL_MS,
           signal,
         });
-        this.onAnswered(shard);
+        this.onReadAnswered(shard);
         this.onRead(shard, page.startOffset, page.records);
       } catch (error) {
         if (isAborted(signal)) return;
-        const problem = toFailure(error, 1901);
-        if (problem.number === 1902) {
-          this.onRead(shard, Number(problem.detail.startOffset), []);
+        const readError = toFailure(error, 1901);
+        if (readError.number === 1902) {
+          this.onRead(shard, Number(readError.detail.startOffset), []);
           continue;
         }
-        this.onFailed(shard, problem.message);
-        await pause(RETRY_PAUSE_MS, signal);
+        this.onReadFailed(shard, readError.message);
+        await pause(READ_RETRY_MS, signal);
       }
     }
   }
 
   async tick(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.perform(this.coordinator.tick(Date.now()));
+      this.performAll(this.coordinator.tick(Date.now()));
       const isIdle = this.coordinator.isIdle;
-      await pause(isIdle ? IDLE_TICK_MS : BUSY_TICK_MS, signal);
+      await pause(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS, signal);
     }
   }
 
@@ -129,14 +129,16 @@
     records: Parameters<ClaimCoordinator["onRead"]>[2],
   ): void {
     const nowMs = Date.now();
-    this.perform(this.coordinator.onRead(shard, startOffset, records, nowMs));
+    this.performAll(
+      this.coordinator.onRead(shard, startOffset, records, nowMs),
+    );
   }
 
-  private perform(effects: readonly ClaimEffect[]): void {
-    for (const effect of effects) this.carryOut(effect);
+  private performAll(effects: readonly ClaimEffect[]): void {
+    for (const effect of effects) this.perform(effect);
   }
 
-  private carryOut(effect: ClaimEffect): void {
+  private perform(effect: ClaimEffect): void {
     switch (effect.kind) {
       case "append":
         void this.append(effect.shard, effect.batch);
@@ -147,15 +149,15 @@
       case "dispatch":
       case "attach":
       case "refuse": {
-        this.measureStep(effect);
-        const waiting = this.calls.get(effect.call);
+        this.recordStep(effect);
+        const waitingCall = this.calls.get(effect.call);
         if (effect.kind !== "dispatch") this.calls.delete(effect.call);
-        waiting?.onStep(effect);
+        waitingCall?.onStep(effect);
       }
     }
   }
 
-  private measureStep({ kind: step, call }: ClaimStep): void {
+  private recordStep({ kind: step, call }: ClaimStep): void {
     const { measurements } = this.options.context;
     measurements.count("claimSteps", { step });
     const begunAtMs = this.calls.get(call)?.begunAtMs;
@@ -170,13 +172,13 @@
     try {
       await this.options.log.append(claimStream(shard), [record]);
       measurements.count("claimAppends", { result: "answered" });
-      this.perform(
+      this.performAll(
         this.coordinator.onAppendAnswered(shard, batch.nonce, Date.now()),
       );
     } catch {
-      // It may have landed all the same; reading tells.
+      // The record may still have been appended; reading the stream tells.
       measurements.count("claimAppends", { result: "failed" });
-      this.perform(
+      this.performAll(
         this.coordinator.onAppendFailed(shard, batch.nonce, Date.now()),
       );
     }
@@ -188,22 +190,22 @@
     tombstone: boolean,
   ): Promise<void> {
     const answer = await this.options.ask(claim, tombstone);
-    this.perform(this.coordinator.onAgentAnswer(call, answer, Date.now()));
+    this.performAll(this.coordinator.onAgentAnswer(call, answer, Date.now()));
   }
 
-  private onFailed(shard: number, reason: string): void {
-    if (this.outages.has(shard)) return;
-    this.outages.set(shard, Date.now());
+  private onReadFailed(shard: number, reason: string): void {
+    if (this.outageStartsMs.has(shard)) return;
+    this.outageStartsMs.set(shard, Date.now());
     const stream = claimStream(shard);
     this.options.context.emit(191, { stream, reason });
   }
 
-  private onAnswered(shard: number): void {
-    const sinceMs = this.outages.get(shard);
-    if (sinceMs === undefined) return;
-    this.outages.delete(shard);
+  private onReadAnswered(shard: number): void {
+    const outageStartMs = this.outageStartsMs.get(shard);
+    if (outageStartMs === undefined) return;
+    this.outageStartsMs.delete(shard);
     const stream = claimStream(shard);
-    const outageMs = Date.now() - sinceMs;
+    const outageMs = Date.now() - outageStartMs;
     this.options.context.emit(192, { stream, outageMs });
   }
 }
@@ -212,7 +214,7 @@
   return signal.aborted;
 }
 
-/** All tasks that the claims of an entry need. */
+/** Background tasks that an entry runs for its claims. */
 export function claimTaskList(tasks: ClaimTasks): readonly {
   readonly name: string;
   readonly run: (signal: AbortSignal) => Promise<void>;
--- a/src/daemon/entry/claimed-placing.ts
+++ b/src/daemon/entry/claimed-placement.ts
@@ -1,6 +1,6 @@
 /**
- * Places a request that may not be repeated: under its own claim, or at the
- * attempt that holds the claim of its call.
+ * Places a request that may not be executed twice: as a new attempt under its
+ * own claim, or attached to the attempt that already holds the call's claim.
  */
 import { v7 as uuidV7 } from "uuid";
 import {
@@ -17,43 +17,48 @@
 } from "../../internal.js";
 import type { ClaimStep, ClaimTasks } from "./claim-tasks.js";
 import type { Sessions } from "./sessions.js";
-import type { Work } from "./work.js";
+import type { CallerRequest } from "./caller-request.js";
 
 /**
- * Longest wait for a claim. Two appends and two reads of a log that answers
- * take milliseconds; a caller is not held through an outage.
+ * Two appends and two reads take milliseconds while the log is available; a
+ * caller doesn't wait for the end of an outage.
  */
-const CLAIM_WAIT_MS = 2_000;
+const MAXIMUM_CLAIM_WAIT_MS = 2_000;
 
 const RETRY_AFTER_MS = 1_000;
 const HTTP_UNAVAILABLE = 503;
 
-export interface ClaimedPlacingOptions {
-  readonly work: Work;
+export interface ClaimedPlacementOptions {
+  readonly callerRequest: CallerRequest;
   readonly claims: ClaimTasks;
   readonly sessions: Sessions;
 }
 
-export interface ClaimedPlacing {
-  /** Called for the first attempt and after each that is proved not to start. */
+export interface ClaimedPlacement {
+  /**
+   * Called for the first attempt and whenever the session needs another one.
+   */
   readonly place: (previous: PreviousAttempt | undefined) => void;
-  /** The request has its outcome. */
+  /** Called when the request has its final outcome. */
   readonly end: () => void;
 }
 
-export function createClaimedPlacing(
-  { work, claims, sessions }: ClaimedPlacingOptions,
+export function createClaimedPlacement(
+  { callerRequest, claims, sessions }: ClaimedPlacementOptions,
   choose: () => AgentChoice | undefined,
-): ClaimedPlacing {
-  const { id } = work;
+): ClaimedPlacement {
+  const { id } = callerRequest;
   let isAttached = false;
   const refuse = (error: ErrorNumber): void => {
-    const isBusy = errorTable[error].status === HTTP_UNAVAILABLE;
-    sessions.refuse(id, error, isBusy ? RETRY_AFTER_MS : 0);
+    const isTemporary = errorTable[error].status === HTTP_UNAVAILABLE;
+    sessions.refuse(id, error, isTemporary ? RETRY_AFTER_MS : 0);
   };
   const dispatch = ({ agent, agentIncarnation, attempt }: ClaimEntry): void => {
-    const sent = sessions.dispatch(id, agent, { attempt, agentIncarnation });
-    if (sent.isLeft()) claims.refused(id);
+    const dispatched = sessions.dispatch(id, agent, {
+      attempt,
+      agentIncarnation,
+    });
+    if (dispatched.isLeft()) claims.onRefused(id);
   };
   const attach = ({ agent, agentIncarnation, attempt }: ClaimEntry): void => {
     isAttached = true;
@@ -65,16 +70,16 @@
     else if (step.kind === "attach") attach(step.claim);
     else refuse(step.error);
   };
-  const begin = (): void => {
+  const beginClaim = (): void => {
     isAttached = false;
-    const request = claimRequest(work, Date.now());
+    const request = createClaimRequest(callerRequest, Date.now());
     if ("error" in request) refuse(request.error.number);
     else claims.begin(request.value, choose, onStep);
   };
   return {
     place: (previous) => {
-      if (previous === undefined || isAttached) begin();
-      else if (previous.provedNotRun) claims.refused(id);
+      if (previous === undefined || isAttached) beginClaim();
+      else if (previous.provedNotRun) claims.onRefused(id);
       else refuse(1308);
     },
     end: () => {
@@ -83,20 +88,23 @@
   };
 }
 
-type ReadRequest =
+type ClaimRequestResult =
   { readonly value: ClaimRequest } | { readonly error: ApricotdeckError };
 
-function claimRequest(work: Work, nowMs: number): ReadRequest {
-  const { id: call, account, idempotencyKey, deadlineAtMs } = work;
+function createClaimRequest(
+  callerRequest: CallerRequest,
+  nowMs: number,
+): ClaimRequestResult {
+  const { id: call, account, idempotencyKey, deadlineAtMs } = callerRequest;
   if (nowMs >= deadlineAtMs) return { error: failure(1304) };
-  const giveUpAtMs = Math.min(deadlineAtMs, nowMs + CLAIM_WAIT_MS);
+  const giveUpAtMs = Math.min(deadlineAtMs, nowMs + MAXIMUM_CLAIM_WAIT_MS);
   const common = { call, account, giveUpAtMs };
   if (idempotencyKey === "") {
     return { value: { ...common, key: uuidV7(), isOwnKey: true } };
   }
   return parseIdempotencyKey(idempotencyKey)
     .chain((key) => checkKeyAge(key, nowMs))
-    .caseOf<ReadRequest>({
+    .caseOf<ClaimRequestResult>({
       Left: (error) => ({ error }),
       Right: ({ key }) => ({ value: { ...common, key, isOwnKey: false } }),
     });
--- a/src/daemon/entry/entry.ts
+++ b/src/daemon/entry/entry.ts
@@ -1,4 +1,4 @@
-/** The daemon of an entry VM. */
+/** The entry daemon, which serves callers and dispatches to agents. */
 import { pause } from "../background-task.js";
 import { DaemonCore, type Daemon, type DaemonAddresses } from "../daemon.js";
 import { listen, type Listening } from "../listening.js";
@@ -6,14 +6,15 @@
 import type { EntrySettings } from "../settings.js";
 import { BackendDirectory } from "./backend-directory.js";
 import { createCallerServer } from "./caller-server.js";
-import { askAgent } from "./claim-asker.js";
+import { queryAttempt } from "./attempt-query.js";
 import { ClaimTasks, claimTaskList } from "./claim-tasks.js";
 import { RequestDispatcher } from "./request-dispatcher.js";
 import { runRequest } from "./request-task.js";
 import { Sessions } from "./sessions.js";
-import type { AnswerWriter, Work } from "./work.js";
+import type { AnswerWriter, CallerRequest } from "./caller-request.js";
 
-const DRAIN_CHECK_MS = 50;
+/** Interval of drain checks, and time for the last bytes to be sent. */
+const DRAIN_POLL_MS = 50;
 
 export async function startEntry(
   settings: EntrySettings,
@@ -29,7 +30,7 @@
   private readonly directory: BackendDirectory;
   private readonly claims: ClaimTasks;
   private readonly dispatcher: RequestDispatcher;
-  private callers!: Listening;
+  private callerListener!: Listening;
 
   private constructor(
     private readonly settings: EntrySettings,
@@ -54,7 +55,7 @@
       sessions: this.sessions,
       vmList: platform.vmList,
     });
-    const asker = {
+    const queryOptions = {
       context,
       transport,
       addressOf: (agent: string) => this.directory.addressOf(agent),
@@ -63,7 +64,7 @@
       context,
       log,
       appendsPerSecond: settings.claims.appendsPerSecond,
-      ask: (claim, tombstone) => askAgent(asker, claim, tombstone),
+      ask: (claim, tombstone) => queryAttempt(queryOptions, claim, tombstone),
     });
     this.dispatcher = RequestDispatcher.create({
       context,
@@ -85,23 +86,23 @@
   }
 
   get addresses(): DaemonAddresses {
-    return { ...this.core.addresses, callers: this.callers.address };
+    return { ...this.core.addresses, callers: this.callerListener.address };
   }
 
   async leave(): Promise<void> {
     if (!this.core.beginLeaving()) return;
     const { graceMs } = this.settings;
-    this.callers.stopAccepting();
+    this.callerListener.stopAccepting();
     this.sessions.leave(graceMs);
     const deadline = Date.now() + graceMs;
     let cutRequests = 0;
     while (!this.sessions.isDrained) {
       if (Date.now() < deadline) cutRequests = this.inFlight;
-      await pause(DRAIN_CHECK_MS, this.core.signal);
+      await pause(DRAIN_POLL_MS, this.core.signal);
     }
     if (Date.now() < deadline) cutRequests = 0;
-    // The last bytes of the last answers are still on their way out.
-    await pause(DRAIN_CHECK_MS, this.core.signal);
+    // Lets the last bytes of the last answers leave.
+    await pause(DRAIN_POLL_MS, this.core.signal);
     this.context.emit(103, { cutRequests });
   }
 
@@ -109,7 +110,7 @@
     this.core.endTasks();
     this.dispatcher[Symbol.dispose]();
     await this.sessions[Symbol.asyncDispose]();
-    await this.callers[Symbol.asyncDispose]();
+    await this.callerListener[Symbol.asyncDispose]();
     await this.core[Symbol.asyncDispose]();
   }
 
@@ -127,18 +128,21 @@
       limits: settings.limits,
       configuration: () => core.configuration.configuration,
       isLeaving: () => core.leaving,
-      serve: (work, writer) => this.serve(work, writer),
+      serve: (callerRequest, writer) => this.serve(callerRequest, writer),
     });
-    this.callers = await listen(server, settings.callers);
+    this.callerListener = await listen(server, settings.callers);
     core.announce();
   }
 
-  private async serve(work: Work, writer: AnswerWriter): Promise<void> {
-    const { id: request, account, profile, acceptedAtMs } = work;
+  private async serve(
+    callerRequest: CallerRequest,
+    writer: AnswerWriter,
+  ): Promise<void> {
+    const { id: request, account, profile, acceptedAtMs } = callerRequest;
     const { emit, measurements } = this.context;
     emit(121, { request, account, profile: profile.name });
-    const finished = runRequest({
-      work,
+    const result = runRequest({
+      callerRequest,
       writer,
       configuration: this.core.configuration.configuration,
       directory: this.directory,
@@ -147,7 +151,7 @@
       claims: this.claims,
     });
     measurements.set("requestsInFlight", this.inFlight);
-    const { outcome } = await finished;
+    const { outcome } = await result;
     const seconds = (Date.now() - acceptedAtMs) / 1000;
     measurements.observe("requestDuration", seconds, { outcome });
     measurements.set("requestsInFlight", this.inFlight);
@@ -161,7 +165,7 @@
       dropped: sessions.dropped,
       waiting: this.dispatcher.waitingCount,
       sessions: sessions.sessions,
-      backends: this.directory.all().map(({ vm, session }) => ({
+      backends: this.directory.list().map(({ vm, session }) => ({
         name: vm.name,
         live: session?.takesWork ?? false,
         inFlight: session?.inFlight ?? 0,
--- a/src/daemon/entry/open-request.ts
+++ b/src/daemon/entry/open-request.ts
@@ -1,4 +1,4 @@
-/** A caller's request as admission and placement look at it. */
+/** State that admission and placement keep for a caller's request. */
 import type {
   AdmissionRequest,
   ClientAccount,
@@ -8,67 +8,77 @@
 import type { EntrySettings } from "../settings.js";
 import { poolOfProfile } from "./pools.js";
 import { prefixHashes } from "./prefix-hashes.js";
-import type { Work } from "./work.js";
+import type { CallerRequest } from "./caller-request.js";
 
-/** As the reader of requests reckons. */
+/** Same estimate as in the request reader. */
 const CHARACTERS_PER_TOKEN = 4;
 
 export interface OpenRequest {
-  readonly work: Work;
+  readonly callerRequest: CallerRequest;
   readonly admission: AdmissionRequest;
   readonly promptTokens: number;
   readonly prefix: readonly number[];
   excluded: readonly string[];
   attempts: number;
   retryDelayMs: number;
-  placed: Placed | undefined;
-  /** It left the queue and hasn't finished. */
-  running: boolean;
+  placedRequest: Placed | undefined;
+  /** The request has left the queue and hasn't finished. */
+  isRunning: boolean;
   sentAtMs: number;
-  pieces: number;
+  pieceCount: number;
 }
 
-export function openRequest(
-  work: Work,
+export function createOpenRequest(
+  callerRequest: CallerRequest,
   account: ClientAccount | undefined,
   outputs: OutputEstimate,
   settings: EntrySettings["placement"],
 ): OpenRequest {
-  const { prompt, costTokens } = work;
+  const { prompt, costTokens } = callerRequest;
   const isModel = prompt !== "";
   const promptTokens = isModel
     ? Math.ceil(prompt.length / CHARACTERS_PER_TOKEN)
     : costTokens;
   const limit = costTokens - promptTokens;
-  const output = outputs.expect(work.account, work.profile.name, limit);
+  const output = outputs.expect(
+    callerRequest.account,
+    callerRequest.profile.name,
+    limit,
+  );
   return {
-    work,
+    callerRequest,
     promptTokens,
     prefix: prefixHashes(prompt, settings.blockTokens * CHARACTERS_PER_TOKEN),
     excluded: [],
     attempts: 0,
     retryDelayMs: 0,
-    placed: undefined,
-    running: false,
+    placedRequest: undefined,
+    isRunning: false,
     sentAtMs: 0,
-    pieces: 0,
-    admission: admissionRequest(work, account, promptTokens, output, settings),
+    pieceCount: 0,
+    admission: createAdmissionRequest(
+      callerRequest,
+      account,
+      promptTokens,
+      output,
+      settings,
+    ),
   };
 }
 
-function admissionRequest(
-  work: Work,
+function createAdmissionRequest(
+  callerRequest: CallerRequest,
   account: ClientAccount | undefined,
   promptTokens: number,
   output: number,
   { stepMs, prefillMsPerToken }: EntrySettings["placement"],
 ): AdmissionRequest {
-  const { profile } = work;
+  const { profile } = callerRequest;
   const arrivedAtMs = performance.now();
   const accountLimit = account?.limit;
   return {
-    id: work.id,
-    account: work.account,
+    id: callerRequest.id,
+    account: callerRequest.account,
     weight: account?.weight ?? 1,
     ...(accountLimit === undefined ? {} : { accountLimit }),
     pool: poolOfProfile(profile),
@@ -77,7 +87,7 @@
     costTokens: promptTokens + output,
     serviceMs: promptTokens * prefillMsPerToken + output * stepMs,
     arrivedAtMs,
-    deadlineAtMs: arrivedAtMs + (work.deadlineAtMs - Date.now()),
+    deadlineAtMs: arrivedAtMs + (callerRequest.deadlineAtMs - Date.now()),
     queue: profile.queue,
     concurrency: profile.concurrency,
   };
--- a/src/daemon/entry/pools.ts
+++ b/src/daemon/entry/pools.ts
@@ -1,4 +1,4 @@
-/** Names of the pools that placement and admission keep apart. */
+/** Names of the pools by which admission and placement separate requests. */
 import type { BackendGroup, Profile } from "../../internal.js";
 
 export function poolOfProfile({ target }: Profile): string {
@@ -7,7 +7,7 @@
     : `service ${target.service}`;
 }
 
-/** Empty for a group that the configuration doesn't know. */
+/** Returns an empty name for a group that isn't in the configuration. */
 export function poolOfGroup(group: BackendGroup | undefined): string {
   if (group === undefined) return "";
   return group.kind === "model"
--- a/src/daemon/entry/request-body.ts
+++ b/src/daemon/entry/request-body.ts
@@ -1,14 +1,14 @@
-/** Reads a caller's body whole, up to a limit. */
+/** Reads a caller's request body into memory, up to a limit. */
 import type { IncomingMessage } from "node:http";
 import { raise } from "../../internal.js";
 
-/** `limit` in bytes. Throws 1205. */
+/** `limit` is in bytes; throws 1205 for a larger body. */
 export async function readBody(
   request: IncomingMessage,
   limit: number,
 ): Promise<Buffer> {
-  const announced = Number(request.headers["content-length"] ?? 0);
-  if (announced > limit) raise(1205, { limit });
+  const declaredLength = Number(request.headers["content-length"] ?? 0);
+  if (declaredLength > limit) raise(1205, { limit });
   const parts: Buffer[] = [];
   let size = 0;
   for await (const part of request) {
--- a/src/daemon/entry/request-dispatcher.ts
+++ b/src/daemon/entry/request-dispatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Carries out what admission and placement decide at one entry: takes accepted
- * requests, starts them when a runner has room, and answers the refused ones.
+ * Connects admission and placement to the sessions of one entry: queues
+ * accepted requests, dispatches them when a runner has capacity and refuses the
+ * ones that can't be served.
  */
 import {
   Admission,
@@ -19,52 +20,57 @@
 import type { ProcessContext } from "../process-context.js";
 import type { EntrySettings } from "../settings.js";
 import type { BackendDirectory } from "./backend-directory.js";
-import { openRequest, type OpenRequest } from "./open-request.js";
+import { createOpenRequest, type OpenRequest } from "./open-request.js";
 import { RunnerSync } from "./runner-sync.js";
 import type { RequestEffect, Sessions } from "./sessions.js";
-import type { Work } from "./work.js";
+import type { CallerRequest } from "./caller-request.js";
 
 export interface RequestDispatcherOptions {
   readonly context: ProcessContext;
   readonly settings: EntrySettings["placement"];
   readonly sessions: Sessions;
   readonly directory: BackendDirectory;
-  /** Undefined before the first version is in force. */
+  /** Returns undefined before the first version is in force. */
   readonly configuration: () => Configuration | undefined;
 }
 
 /**
- * Room that comes up elsewhere shows in reports only; a queued request looks
- * for it this often. A tenth of the shortest first token that callers see.
+ * Interval at which queued requests look for capacity, since capacity freed by
+ * other entries shows only in load reports. It is a tenth of the shortest time
+ * to first token that callers see.
  */
 const TICK_MS = 10;
-/** Ticks between looks at all runners; a new session waits so long at most. */
-const SYNC_TICKS = 10;
-/** A replaced VM takes seconds to come; sooner repeats find nobody either. */
-const NOBODY_RETRY_MS = 1000;
+/**
+ * Ticks between runner syncs; placement may learn of a new session this late.
+ */
+const RUNNER_SYNC_TICKS = 10;
+/**
+ * A replacement VM takes seconds to start, so earlier retries would fail too.
+ */
+const NO_RUNNER_RETRY_MS = 1000;
 
 export class RequestDispatcher implements Disposable {
-  private readonly open = new Map<string, OpenRequest>();
+  private readonly openRequests = new Map<string, OpenRequest>();
   private readonly placement: Placement;
   private readonly admission: Admission;
   private readonly outputs = OutputEstimate.create();
-  private readonly retries = new Map<string, RetryAllowance>();
+  private readonly retryAllowances = new Map<string, RetryAllowance>();
   private readonly timer: NodeJS.Timeout;
-  private ticks = 0;
-  private readonly runners: RunnerSync;
+  private tickCount = 0;
+  private readonly runnerSync: RunnerSync;
 
   private constructor(private readonly options: RequestDispatcherOptions) {
     const { context, settings, directory } = options;
     const { emit, dataCentre } = context;
     const now = (): number => performance.now();
     const random = Math.random;
-    const { farMs, ...figures } = settings;
+    const { farMs, ...tuning } = settings;
     this.placement = Placement.create({
       now,
       random,
       emit,
       settings: {
-        ...figures,
+        ...tuning,
         dataCentre,
         distanceMs: (other) => (other === dataCentre ? 0 : farMs),
         kvTransfer: undefined,
@@ -80,7 +86,7 @@
         this.refuse(id, refusal);
       },
     });
-    this.runners = RunnerSync.create({
+    this.runnerSync = RunnerSync.create({
       placement: this.placement,
       directory,
       configuration: options.configuration,
@@ -95,43 +101,45 @@
     return new RequestDispatcher(options);
   }
 
-  /** Requests that wait for room. */
+  /** Number of requests waiting for capacity. */
   get waitingCount(): number {
     return this.admission.waitingCount;
   }
 
   /**
-   * Takes a request that the session part wants placed: a new one, or one
-   * whose last attempt was refused or may be repeated.
+   * Places a request: a new one, or one whose last attempt was refused or may
+   * be retried.
    */
-  place(work: Work): void {
-    const known = this.open.get(work.id);
-    if (known !== undefined) {
-      this.placeAgain(known);
+  place(callerRequest: CallerRequest): void {
+    const existing = this.openRequests.get(callerRequest.id);
+    if (existing !== undefined) {
+      this.placeAfterDelay(existing);
       return;
     }
-    const item = this.openRequest(work);
-    this.open.set(work.id, item);
-    const offer = this.admission.offer(item.admission);
-    if (offer.kind === "refused") this.refuse(work.id, offer);
+    const openRequest = this.createOpenRequest(callerRequest);
+    this.openRequests.set(callerRequest.id, openRequest);
+    const offer = this.admission.offer(openRequest.admission);
+    if (offer.kind === "refused") this.refuse(callerRequest.id, offer);
   }
 
-  /** May a request whose work may have started be started again? */
+  /** Decides whether a request whose last run may have started is retried. */
   mayRetry(call: Call): boolean {
-    const item = this.open.get(call.request);
-    if (item === undefined) return false;
-    const delayMs = this.retriesOf(item.admission.pool).spend(item.attempts);
-    item.retryDelayMs = delayMs ?? 0;
+    const openRequest = this.openRequests.get(call.request);
+    if (openRequest === undefined) return false;
+    const delayMs = this.retryAllowanceOf(openRequest.admission.pool).spend(
+      openRequest.attempts,
+    );
+    openRequest.retryDelayMs = delayMs ?? 0;
     return delayMs !== undefined;
   }
 
   onEffect(id: string, effect: RequestEffect): void {
-    const item = this.open.get(id);
-    if (item === undefined) return;
-    if (effect.kind === "piece") item.pieces += 1;
-    if (effect.kind === "run-over") this.onRunOver(item, effect.result);
+    const openRequest = this.openRequests.get(id);
+    if (openRequest === undefined) return;
+    if (effect.kind === "piece") openRequest.pieceCount += 1;
+    if (effect.kind === "run-over") this.onRunOver(openRequest, effect.result);
     if (effect.kind === "finish") {
-      this.finish(item, isAnswer(effect.outcome));
+      this.finish(openRequest, isAnswer(effect.outcome));
     }
   }
 
@@ -139,130 +147,145 @@
     clearInterval(this.timer);
   }
 
-  private openRequest(work: Work): OpenRequest {
+  private createOpenRequest(callerRequest: CallerRequest): OpenRequest {
     const { settings, configuration } = this.options;
     const accounts = configuration()?.accounts;
-    const account = accounts?.find(({ name }) => name === work.account);
-    return openRequest(work, account, this.outputs, settings);
+    const account = accounts?.find(
+      ({ name }) => name === callerRequest.account,
+    );
+    return createOpenRequest(callerRequest, account, this.outputs, settings);
   }
 
-  /** Called by admission; false leaves the request where it is. */
+  /** Called by admission; returns false to keep the request in the queue. */
   private start({ id }: AdmissionRequest): boolean {
-    const item = this.open.get(id);
-    if (item === undefined) return true;
+    const openRequest = this.openRequests.get(id);
+    if (openRequest === undefined) return true;
     for (;;) {
-      const request = this.placementRequest(item);
+      const request = this.createPlacementRequest(openRequest);
       const choice = this.chooseRunner(request);
-      if (choice === undefined) return this.startNowhere(item);
+      if (choice === undefined) return this.refuseWithoutRunner(openRequest);
       if (!choice.hasRoom) return false;
-      const sent = this.options.sessions.dispatch(id, choice.runner);
-      if (sent.isRight()) {
-        this.onSent(item, request, choice);
+      const dispatched = this.options.sessions.dispatch(id, choice.runner);
+      if (dispatched.isRight()) {
+        this.onDispatched(openRequest, request, choice);
         return true;
       }
-      item.excluded = [...item.excluded, choice.runner];
+      openRequest.excluded = [...openRequest.excluded, choice.runner];
     }
   }
 
   private chooseRunner(request: PlacementRequest): Choice | undefined {
     const chosen = this.placement.choose(request);
     if (chosen.isRight()) return chosen.unsafeCoerce();
-    // Sessions may have opened since the last look.
-    this.runners.run();
+    // Sessions may have opened since the last sync.
+    this.runnerSync.sync();
     return this.placement.choose(request).toMaybe().extract();
   }
 
-  /** Nobody serves the pool, or all have refused: nothing to wait for. */
-  private startNowhere(item: OpenRequest): boolean {
-    item.running = true;
-    const error = failure(1209, { pool: item.admission.pool });
-    // Admission is in the middle of starting it; its end comes after that.
+  /** Refuses at once: no runner serves the pool, or all of them refused. */
+  private refuseWithoutRunner(openRequest: OpenRequest): boolean {
+    openRequest.isRunning = true;
+    const error = failure(1209, { pool: openRequest.admission.pool });
+    // Admission is still starting the request; it must not end before that.
     queueMicrotask(() => {
-      this.refuse(item.work.id, { error, retryAfterMs: NOBODY_RETRY_MS });
+      this.refuse(openRequest.callerRequest.id, {
+        error,
+        retryAfterMs: NO_RUNNER_RETRY_MS,
+      });
     });
     return true;
   }
 
-  private onSent(
-    item: OpenRequest,
+  private onDispatched(
+    openRequest: OpenRequest,
     request: PlacementRequest,
     choice: Choice,
   ): void {
-    const placed = { request, choice };
-    item.placed = placed;
-    item.running = true;
-    item.attempts += 1;
-    item.sentAtMs = performance.now();
-    this.placement.onStarted(placed);
+    const placedRequest = { request, choice };
+    openRequest.placedRequest = placedRequest;
+    openRequest.isRunning = true;
+    openRequest.attempts += 1;
+    openRequest.sentAtMs = performance.now();
+    this.placement.onStarted(placedRequest);
   }
 
-  private placementRequest(item: OpenRequest): PlacementRequest {
-    const { admission, promptTokens, prefix, excluded } = item;
+  private createPlacementRequest(openRequest: OpenRequest): PlacementRequest {
+    const { admission, promptTokens, prefix, excluded } = openRequest;
     const { pool, priority, costTokens } = admission;
     const outputTokens = costTokens - promptTokens;
     return { pool, priority, promptTokens, outputTokens, prefix, excluded };
   }
 
-  private placeAgain(item: OpenRequest): void {
-    const { retryDelayMs } = item;
-    item.retryDelayMs = 0;
-    if (retryDelayMs === 0) this.putBack(item);
+  private placeAfterDelay(openRequest: OpenRequest): void {
+    const { retryDelayMs } = openRequest;
+    openRequest.retryDelayMs = 0;
+    if (retryDelayMs === 0) this.requeue(openRequest);
     else {
       setTimeout(() => {
-        if (this.open.has(item.work.id)) this.putBack(item);
+        if (this.openRequests.has(openRequest.callerRequest.id))
+          this.requeue(openRequest);
       }, retryDelayMs);
     }
   }
 
-  private putBack(item: OpenRequest): void {
-    item.running = false;
-    this.admission.putBack(item.admission);
-    this.admission.drain(item.admission.pool);
+  private requeue(openRequest: OpenRequest): void {
+    openRequest.isRunning = false;
+    this.admission.putBack(openRequest.admission);
+    this.admission.drain(openRequest.admission.pool);
   }
 
   private onRunOver(
-    item: OpenRequest,
+    openRequest: OpenRequest,
     result: Extract<RequestEffect, { kind: "run-over" }>["result"],
   ): void {
-    const { placed } = item;
-    if (placed === undefined) return;
-    item.placed = undefined;
-    const { runner } = placed.choice;
+    const { placedRequest } = openRequest;
+    if (placedRequest === undefined) return;
+    openRequest.placedRequest = undefined;
+    const { runner } = placedRequest.choice;
     switch (result) {
       case "answered":
-        this.placement.onEnded(placed, performance.now() - item.sentAtMs);
+        this.placement.onEnded(
+          placedRequest,
+          performance.now() - openRequest.sentAtMs,
+        );
         break;
       case "refused":
-        this.placement.onRefused(placed);
+        this.placement.onRefused(placedRequest);
         break;
       case "broken":
       case "lost":
-        item.excluded = [...item.excluded, runner];
-        this.placement.onFailed(placed);
+        openRequest.excluded = [...openRequest.excluded, runner];
+        this.placement.onFailed(placedRequest);
     }
   }
 
-  private finish(item: OpenRequest, isAnswered: boolean): void {
-    const { work, admission, placed } = item;
-    this.open.delete(work.id);
-    if (placed !== undefined) {
-      if (isAnswered) this.onRunOver(item, "answered");
-      else this.placement.onCancelled(placed);
+  private finish(openRequest: OpenRequest, isAnswered: boolean): void {
+    const { callerRequest, admission, placedRequest } = openRequest;
+    this.openRequests.delete(callerRequest.id);
+    if (placedRequest !== undefined) {
+      if (isAnswered) this.onRunOver(openRequest, "answered");
+      else this.placement.onCancelled(placedRequest);
     }
-    if (!item.running) {
-      this.admission.cancel(work.id);
+    if (!openRequest.isRunning) {
+      this.admission.cancel(callerRequest.id);
       return;
     }
-    if (isAnswered) this.retriesOf(admission.pool).onSuccess();
-    const isCounted = isAnswered && work.streamed;
-    if (isCounted) {
-      this.outputs.onAnswered(work.account, work.profile.name, item.pieces);
+    if (isAnswered) this.retryAllowanceOf(admission.pool).onSuccess();
+    const countsOutput = isAnswered && callerRequest.streamed;
+    if (countsOutput) {
+      this.outputs.onAnswered(
+        callerRequest.account,
+        callerRequest.profile.name,
+        openRequest.pieceCount,
+      );
     }
     this.admission.onEnded(admission, {
-      costTokens: isCounted
-        ? item.promptTokens + item.pieces
+      costTokens: countsOutput
+        ? openRequest.promptTokens + openRequest.pieceCount
         : admission.costTokens,
-      durationMs: isAnswered ? performance.now() - item.sentAtMs : undefined,
+      durationMs: isAnswered
+        ? performance.now() - openRequest.sentAtMs
+        : undefined,
     });
   }
 
@@ -272,29 +295,29 @@
     this.options.sessions.refuse(id, error.number, retryAfterMs);
   }
 
-  private retriesOf(pool: string): RetryAllowance {
-    const known = this.retries.get(pool);
-    if (known !== undefined) return known;
+  private retryAllowanceOf(pool: string): RetryAllowance {
+    const existing = this.retryAllowances.get(pool);
+    if (existing !== undefined) return existing;
     const { emit } = this.options.context;
     const created = RetryAllowance.create({ pool, random: Math.random, emit });
-    this.retries.set(pool, created);
+    this.retryAllowances.set(pool, created);
     return created;
   }
 
   private tick(): void {
-    this.ticks += 1;
-    if (this.ticks % SYNC_TICKS === 0) this.lookAround();
+    this.tickCount += 1;
+    if (this.tickCount % RUNNER_SYNC_TICKS === 0) this.syncRunners();
     if (this.admission.waitingCount === 0) return;
     const pools = new Set<string>();
-    for (const { running, admission } of this.open.values()) {
-      if (!running) pools.add(admission.pool);
+    for (const { isRunning, admission } of this.openRequests.values()) {
+      if (!isRunning) pools.add(admission.pool);
     }
     for (const pool of pools) this.admission.drain(pool);
   }
 
-  private lookAround(): void {
+  private syncRunners(): void {
     const { measurements } = this.options.context;
-    this.runners.run();
+    this.runnerSync.sync();
     measurements.set("admissionWaiting", this.admission.waitingCount);
     measurements.set("runnersEjected", this.placement.ejectedCount);
   }
--- a/src/daemon/entry/request-reader.ts
+++ b/src/daemon/entry/request-reader.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request and resolves account, profile and model. */
+/** Reads a caller's request and resolves its account, profile and model. */
 import { createHash } from "node:crypto";
 import type { IncomingMessage } from "node:http";
 import { v7 as uuidV7 } from "uuid";
@@ -12,7 +12,7 @@
 import type { Header } from "../../wire/generated/session.js";
 import type { EntrySettings } from "../settings.js";
 import { readBody } from "./request-body.js";
-import type { Work } from "./work.js";
+import type { CallerRequest } from "./caller-request.js";
 
 export type CallerLimits = EntrySettings["limits"];
 
@@ -30,7 +30,7 @@
   "/v1/completions",
 ]);
 
-/** The fields that decide; all others pass to the engine unread. */
+/** Fields the entry uses; all others are forwarded to the engine unchecked. */
 const completionSchema = z.looseObject({
   model: z.string().min(1),
   stream: z.boolean().nullish(),
@@ -45,12 +45,12 @@
 
 type Completion = z.infer<typeof completionSchema>;
 
-/** Throws 1201 to 1208 for what can't be served. */
-export async function readWork(
+/** Throws 1201 to 1208 for a request that can't be served. */
+export async function readCallerRequest(
   request: IncomingMessage,
   configuration: Configuration,
   limits: CallerLimits,
-): Promise<Work> {
+): Promise<CallerRequest> {
   const account = authenticate(request, configuration);
   const path = pathOf(request);
   const isCompletion = completionPaths.has(path);
@@ -60,10 +60,10 @@
   if (isCompletion && request.method !== "POST") raise(1208);
   const profile = resolveProfile(request, configuration, account);
   const body = await readBody(request, limits.bodyBytes);
-  const common = commonPart(request, account, profile, body);
+  const common = readCommonFields(request, account, profile, body);
   return isCompletion
-    ? completionWork(common, path)
-    : serviceWork(common, request.url ?? path);
+    ? createCompletionRequest(common, path)
+    : createServiceRequest(common, request.url ?? path);
 }
 
 export function authenticate(
@@ -80,7 +80,10 @@
   return account ?? raise(1202);
 }
 
-export function isOpenTo(profile: Profile, account: ClientAccount): boolean {
+export function isProfileAllowed(
+  profile: Profile,
+  account: ClientAccount,
+): boolean {
   return profile.accounts?.includes(account.name) ?? true;
 }
 
@@ -90,24 +93,24 @@
 
 type ModelTarget = Extract<Profile["target"], { kind: "model" }>;
 
-type Common = Omit<
-  Work,
+type CommonFields = Omit<
+  CallerRequest,
   "path" | "streamed" | "model" | "prompt" | "costTokens"
 >;
 
-function commonPart(
+function readCommonFields(
   request: IncomingMessage,
   account: ClientAccount,
   profile: Profile,
   body: Buffer,
-): Common {
+): CommonFields {
   const acceptedAtMs = Date.now();
   return {
     id: uuidV7(),
     account: account.name,
     profile,
     method: request.method ?? "GET",
-    headers: passedHeaders(request),
+    headers: selectForwardedHeaders(request),
     body,
     acceptedAtMs,
     deadlineAtMs: acceptedAtMs + profile.deadlineMs,
@@ -115,7 +118,10 @@
   };
 }
 
-function completionWork(common: Common, path: string): Work {
+function createCompletionRequest(
+  common: CommonFields,
+  path: string,
+): CallerRequest {
   const { target } = common.profile;
   const completion = parseCompletion(common.body);
   if (target.kind !== "model" || completion.model !== target.model) {
@@ -125,7 +131,7 @@
     completion.max_completion_tokens ??
     completion.max_tokens ??
     DEFAULT_OUTPUT_TOKENS;
-  const prompt = promptOf(completion);
+  const prompt = readPrompt(completion);
   return {
     ...common,
     headers: [...common.headers, ...variantHeaders(target)],
@@ -137,7 +143,9 @@
   };
 }
 
-/** Adapter and version are the profile's, whatever the caller's body says. */
+/**
+ * Adapter and version come from the profile; the caller can't override them.
+ */
 function variantHeaders({ adapter, version }: ModelTarget): Header[] {
   const header = (name: string, value: string | undefined): Header[] =>
     value === undefined ? [] : [{ name, value }];
@@ -147,7 +155,10 @@
   ];
 }
 
-function serviceWork(common: Common, url: string): Work {
+function createServiceRequest(
+  common: CommonFields,
+  url: string,
+): CallerRequest {
   const { target } = common.profile;
   const [service = "", ...rest] = url.slice(SERVICE_PREFIX.length).split("/");
   if (target.kind !== "service" || target.service !== service) {
@@ -155,8 +166,8 @@
   }
   const path = `/${rest.join("/")}`;
   const costTokens = Math.ceil(common.body.length / BYTES_PER_TOKEN) + 1;
-  const plain = { streamed: false, model: "", prompt: "" };
-  return { ...common, ...plain, path, costTokens };
+  const serviceFields = { streamed: false, model: "", prompt: "" };
+  return { ...common, ...serviceFields, path, costTokens };
 }
 
 function parseCompletion(body: Buffer): Completion {
@@ -181,7 +192,7 @@
   }
 }
 
-function promptOf({ prompt, messages }: Completion): string {
+function readPrompt({ prompt, messages }: Completion): string {
   if (typeof prompt === "string") return prompt;
   if (prompt !== undefined) return JSON.stringify(prompt);
   return (messages ?? [])
@@ -196,17 +207,19 @@
   { profiles }: Configuration,
   account: ClientAccount,
 ): Profile {
-  const named = singleHeader(request, PROFILE_HEADER);
-  const wanted = named === "" ? account.defaultProfile : named;
-  const profile = profiles.find(({ name }) => name === wanted);
-  if (profile !== undefined && isOpenTo(profile, account)) return profile;
-  return raise(1203, { profile: (wanted ?? "").slice(0, 100) });
+  const requestedName = singleHeader(request, PROFILE_HEADER);
+  const profileName =
+    requestedName === "" ? account.defaultProfile : requestedName;
+  const profile = profiles.find(({ name }) => name === profileName);
+  if (profile !== undefined && isProfileAllowed(profile, account))
+    return profile;
+  return raise(1203, { profile: (profileName ?? "").slice(0, 100) });
 }
 
-/** Only what the runner needs: credentials and hop headers stay here. */
-function passedHeaders({ headers }: IncomingMessage): Header[] {
-  const passed = ["content-type", "accept", "accept-language"] as const;
-  return passed.flatMap((name) => {
+/** Forwards what the runner needs: no credentials or hop-by-hop headers. */
+function selectForwardedHeaders({ headers }: IncomingMessage): Header[] {
+  const forwardedNames = ["content-type", "accept", "accept-language"] as const;
+  return forwardedNames.flatMap((name) => {
     const value = headers[name];
     return value === undefined ? [] : [{ name, value }];
   });
--- a/src/daemon/entry/request-task.ts
+++ b/src/daemon/entry/request-task.ts
@@ -1,4 +1,4 @@
-/** One task for each accepted request: place, dispatch, stream, finish. */
+/** Runs one accepted request from placement to its final outcome. */
 import {
   createDeferred,
   failure,
@@ -10,14 +10,14 @@
 } from "../../internal.js";
 import type { Backend, BackendDirectory } from "./backend-directory.js";
 import type { ClaimTasks } from "./claim-tasks.js";
-import { createClaimedPlacing } from "./claimed-placing.js";
+import { createClaimedPlacement } from "./claimed-placement.js";
 import { poolOfGroup, poolOfProfile } from "./pools.js";
 import type { RequestDispatcher } from "./request-dispatcher.js";
 import type { RequestEffect, Sessions } from "./sessions.js";
-import type { AnswerWriter, Work } from "./work.js";
+import type { AnswerWriter, CallerRequest } from "./caller-request.js";
 
 export interface RequestTaskOptions {
-  readonly work: Work;
+  readonly callerRequest: CallerRequest;
   readonly writer: AnswerWriter;
   readonly configuration: Configuration;
   readonly directory: BackendDirectory;
@@ -33,40 +33,40 @@
 
 const RETRY_AFTER_MS = 1000;
 
-/** Throws 1213 when the entry is leaving; resolves with the final outcome. */
+/** Resolves with the final outcome; throws 1213 if the entry is leaving. */
 export async function runRequest(
   options: RequestTaskOptions,
 ): Promise<RequestResult> {
-  const { work, writer, sessions, dispatcher } = options;
+  const { callerRequest, writer, sessions, dispatcher } = options;
   const { promise, resolve } = createDeferred<RequestResult>();
-  const tried = new Set<string>();
-  const claimed = work.profile.repeatable
+  const triedAgents = new Set<string>();
+  const claimedPlacement = callerRequest.profile.repeatable
     ? undefined
-    : createClaimedPlacing(options, () => {
-        const backend = place(options, tried);
+    : createClaimedPlacement(options, () => {
+        const backend = chooseBackend(options, triedAgents);
         if (backend?.session === undefined) return undefined;
         const { name: agent } = backend.vm;
-        tried.add(agent);
+        triedAgents.add(agent);
         const { agentIncarnation } = backend.session;
         return { agent, agentIncarnation };
       });
-  const deadlineMs = work.deadlineAtMs - Date.now();
+  const deadlineMs = callerRequest.deadlineAtMs - Date.now();
   writer.signal.addEventListener("abort", () => {
-    sessions.cancel(work.id);
+    sessions.cancel(callerRequest.id);
   });
   sessions
-    .accept(callOf(work), deadlineMs, {
+    .accept(createCall(callerRequest), deadlineMs, {
       place: (previous) => {
-        if (claimed === undefined) dispatcher.place(work);
-        else claimed.place(previous);
+        if (claimedPlacement === undefined) dispatcher.place(callerRequest);
+        else claimedPlacement.place(previous);
       },
       onEffect: (effect) => {
-        dispatcher.onEffect(work.id, effect);
+        dispatcher.onEffect(callerRequest.id, effect);
         if (effect.kind === "finish") {
-          claimed?.end();
+          claimedPlacement?.end();
           resolve(effect);
         }
-        passOn(writer, effect);
+        writeEffect(writer, effect);
       },
     })
     .ifLeft((error) => {
@@ -75,7 +75,7 @@
   return promise;
 }
 
-function passOn(writer: AnswerWriter, effect: RequestEffect): void {
+function writeEffect(writer: AnswerWriter, effect: RequestEffect): void {
   switch (effect.kind) {
     case "piece":
       writer.piece(effect.data as Buffer);
@@ -99,8 +99,9 @@
 }
 
 /**
- * What was not run may simply be sent again. A claim that was not decided may
- * be repeated under its key, and tells when.
+ * A request that wasn't run may be sent again, after a default delay if its
+ * effect names none. Other outcomes, such as that of an undecided claim, may be
+ * repeated only under their key and name their delay themselves.
  */
 function retryAfterMs(
   effect: Extract<RequestEffect, { kind: "finish" }>,
@@ -109,27 +110,27 @@
   return effect.retryAfterMs || RETRY_AFTER_MS;
 }
 
-/** Where a call goes that may not be repeated: its claim names the agent. */
-function place(
-  { work, configuration, directory }: RequestTaskOptions,
-  tried: ReadonlySet<string>,
+/** Chooses the backend server named in a non-repeatable call's claim. */
+function chooseBackend(
+  { callerRequest, configuration, directory }: RequestTaskOptions,
+  triedAgents: ReadonlySet<string>,
 ): Backend | undefined {
-  const pool = poolOfProfile(work.profile);
+  const pool = poolOfProfile(callerRequest.profile);
   return configuration.groups
     .filter((group) => poolOfGroup(group) === pool)
     .flatMap(({ name }) =>
-      directory.all().filter(({ vm }) => vm.group === name),
+      directory.list().filter(({ vm }) => vm.group === name),
     )
     .filter(({ vm, session }) => vm.state === "live" && session?.takesWork)
-    .filter(({ vm }) => !tried.has(vm.name))
+    .filter(({ vm }) => !triedAgents.has(vm.name))
     .sort((a, b) => (a.session?.inFlight ?? 0) - (b.session?.inFlight ?? 0))
     .at(0);
 }
 
-function callOf(work: Work): Call {
-  const { id: request, account, method, path, headers, body } = work;
-  const { streamed, costTokens, idempotencyKey, model } = work;
-  const { repeatable, priority } = work.profile;
+function createCall(callerRequest: CallerRequest): Call {
+  const { id: request, account, method, path, headers, body } = callerRequest;
+  const { streamed, costTokens, idempotencyKey, model } = callerRequest;
+  const { repeatable, priority } = callerRequest.profile;
   return {
     request,
     account,
--- a/src/daemon/entry/runner-sync.ts
+++ b/src/daemon/entry/runner-sync.ts
@@ -1,4 +1,4 @@
-/** Tells placement which runners take work, and what their agents report. */
+/** Keeps placement informed of available runners and their load reports. */
 import type { Configuration, Placement } from "../../internal.js";
 import type { Backend, BackendDirectory } from "./backend-directory.js";
 import { poolOfGroup } from "./pools.js";
@@ -6,20 +6,20 @@
 export interface RunnerSyncOptions {
   readonly placement: Placement;
   readonly directory: BackendDirectory;
-  /** Undefined before the first version is in force. */
+  /** Returns undefined before the first version is in force. */
   readonly configuration: () => Configuration | undefined;
-  /** Requests that a runner works on at once. */
+  /** Number of requests that a runner executes concurrently. */
   readonly slots: number;
 }
 
-/** What placement was told last of a runner. */
-interface Known {
+/** The last state of a runner that placement received. */
+interface PublishedRunner {
   summary: string;
   load: unknown;
 }
 
 export class RunnerSync {
-  private readonly known = new Map<string, Known>();
+  private readonly publishedRunners = new Map<string, PublishedRunner>();
 
   private constructor(private readonly options: RunnerSyncOptions) {}
 
@@ -27,40 +27,45 @@
     return new RunnerSync(options);
   }
 
-  /** Looks at all sessions; cheap enough for ten times a second. */
-  run(): void {
+  /**
+   * Compares all sessions with placement; cheap enough for ten calls a second.
+   */
+  sync(): void {
     const { directory, placement } = this.options;
     const live = new Set<string>();
-    for (const backend of directory.all()) {
+    for (const backend of directory.list()) {
       const { vm, session } = backend;
       if (vm.state !== "live" || session?.takesWork !== true) continue;
       live.add(vm.name);
-      this.tell(backend);
+      this.updatePlacement(backend);
     }
-    for (const name of this.known.keys()) {
+    for (const name of this.publishedRunners.keys()) {
       if (live.has(name)) continue;
-      this.known.delete(name);
+      this.publishedRunners.delete(name);
       placement.removeRunner(name);
     }
   }
 
-  private tell({ vm, session }: Backend): void {
+  private updatePlacement({ vm, session }: Backend): void {
     const { placement, configuration, slots } = this.options;
     const { name: runner, dataCentre, group = "" } = vm;
     const groups = configuration()?.groups ?? [];
     const pool = poolOfGroup(groups.find(({ name }) => name === group));
-    const known = this.known.get(runner) ?? { summary: "", load: undefined };
-    this.known.set(runner, known);
+    const published = this.publishedRunners.get(runner) ?? {
+      summary: "",
+      load: undefined,
+    };
+    this.publishedRunners.set(runner, published);
     const summary = `${group} ${pool} ${dataCentre}`;
-    if (known.summary !== summary) {
-      known.summary = summary;
+    if (published.summary !== summary) {
+      published.summary = summary;
       const pools = [pool];
       const adapters: readonly string[] = [];
       const description = { runner, group, dataCentre, pools, adapters, slots };
       placement.setRunner(description);
     }
-    if (session?.load === undefined || known.load === session.load) return;
-    known.load = session.load;
+    if (session?.load === undefined || published.load === session.load) return;
+    published.load = session.load;
     placement.onReport(runner, session.load);
   }
 }
--- a/src/daemon/entry/sessions.ts
+++ b/src/daemon/entry/sessions.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the entry's session machine decides: one task for each
- * connection to an agent, one listener for each request.
+ * Executes the effects of the entry's session state machine, with one task for
+ * each connection to an agent and one listener for each request.
  */
 import {
   EntrySessions,
@@ -25,7 +25,7 @@
 import type { TransportSettings } from "../settings.js";
 import { AgentConnection, closeSession } from "./agent-connection.js";
 
-/** Effects that concern one request. */
+/** Effects that belong to a single request. */
 export type RequestEffect = Extract<
   EntryEffect,
   { kind: "place" | "head" | "piece" | "discard" | "finish" | "run-over" }
@@ -42,18 +42,18 @@
   readonly mayRetry: MayRetry;
 }
 
-/** What placement can know of the session to one runner. */
+/** State of the session to one runner, as used by placement. */
 export interface RunnerSession {
-  /** New work may be dispatched to it. */
+  /** Whether new requests may be dispatched to the runner. */
   readonly takesWork: boolean;
-  /** Runs that this entry follows there. */
+  /** Number of this entry's runs on the runner. */
   readonly inFlight: number;
   readonly load: LoadReport | undefined;
   /** Empty before the first session. */
   readonly agentIncarnation: string;
 }
 
-interface Runner {
+interface RunnerState {
   readonly address: string;
   connection: AgentConnection | undefined;
   number: number;
@@ -67,7 +67,7 @@
 
 export class Sessions implements AsyncDisposable {
   private readonly machine: EntrySessions;
-  private readonly runners = new Map<string, Runner>();
+  private readonly runners = new Map<string, RunnerState>();
   private readonly listeners = new Map<string, RequestListener>();
   private readonly timer: NodeJS.Timeout;
 
@@ -117,7 +117,7 @@
     this.runners.delete(name);
   }
 
-  /** The VM list says that the runner leaves. */
+  /** Called when the VM list shows that the runner is leaving. */
   markLeaving(name: string): void {
     this.machine.markLeaving(name, "list");
   }
@@ -144,10 +144,11 @@
     options: DispatchOptions = {},
   ): Dispatched {
     const now = performance.now();
-    const sent = this.machine.dispatch(request, runner, now, options);
-    const found = this.runners.get(runner);
-    if (found !== undefined && sent.isRight()) found.inFlight += 1;
-    return sent;
+    const dispatched = this.machine.dispatch(request, runner, now, options);
+    const runnerState = this.runners.get(runner);
+    if (runnerState !== undefined && dispatched.isRight())
+      runnerState.inFlight += 1;
+    return dispatched;
   }
 
   refuse(request: string, error: ErrorNumber, retryAfterMs: number): void {
@@ -199,12 +200,12 @@
         const runner = this.runners.get(effect.runner);
         if (runner === undefined) return;
         runner.agentIncarnation = effect.session.agentIncarnation;
-        this.noteWork(effect.runner, true);
+        this.setTakesWork(effect.runner, true);
         return;
       }
       case "session-lost":
       case "agent-leaving":
-        this.noteWork(effect.runner, false);
+        this.setTakesWork(effect.runner, false);
         return;
       case "load": {
         const runner = this.runners.get(effect.runner);
@@ -236,7 +237,7 @@
     }
   }
 
-  private noteWork(name: string, takesWork: boolean): void {
+  private setTakesWork(name: string, takesWork: boolean): void {
     const runner = this.runners.get(name);
     if (runner !== undefined) runner.takesWork = takesWork;
   }
@@ -263,10 +264,10 @@
     });
     runner.connection = connection;
     runner.number = number;
-    void this.keepConnection(name, number, connection);
+    void this.runConnection(name, number, connection);
   }
 
-  private async keepConnection(
+  private async runConnection(
     name: string,
     number: number,
     connection: AgentConnection,
@@ -289,7 +290,7 @@
       );
       this.machine.closeAnswered(name, number, reply, performance.now());
     } catch {
-      // The agent can't be reached now; the machine asks again.
+      // The agent is unreachable; the state machine retries.
       this.machine.closeFailed(name, number, performance.now());
     }
   }
--- a/src/daemon/entry/unreadable-request.ts
+++ b/src/daemon/entry/unreadable-request.ts
@@ -1,4 +1,4 @@
-/** Answers bytes from which the parser could make no request. */
+/** Answers input that Node's HTTP parser rejects. */
 import type { Socket } from "node:net";
 import { failure, type ApricotdeckError } from "../../internal.js";
 
@@ -6,7 +6,9 @@
   readonly code?: string;
 }
 
-/** Node's parser refused the bytes before there was a request. */
+/**
+ * Handles `clientError`; at this point there is no request or response object.
+ */
 export function answerUnreadable(error: ClientError, socket: Socket): void {
   if (!socket.writable || error.code === "ECONNRESET") {
     socket.destroy();
--- a/src/daemon/orders/order-task.ts
+++ b/src/daemon/orders/order-task.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the orders of the group on the log and has the engine beside this
- * agent carry out the newest of each kind.
+ * Reads the group's orders from the log and makes the agent's engine execute
+ * the newest order of each kind.
  */
 import { z } from "zod";
 import {
@@ -32,13 +32,13 @@
   readonly settings: EngineOrderSettings;
 }
 
-/** The log answers as soon as there is a record, and after this at the latest. */
+/** Long-poll timeout; the log responds earlier as soon as it has a record. */
 const LONG_POLL_MS = 2_000;
 const TICK_MS = 50;
-/** An order that the engine doesn't show in time is given again after this. */
-const REPEAT_MS = 5_000;
-/** An engine that answers more slowly than this gets its orders in doubt. */
-const SHORTEST_TIMEOUT_MS = 1_000;
+/** Delay before an order that the engine didn't confirm in time is retried. */
+const RETRY_INTERVAL_MS = 5_000;
+/** Lower bound of the call timeout; after a timeout the outcome is unknown. */
+const MINIMUM_TIMEOUT_MS = 1_000;
 
 const orderKind = z.enum(["load-model", "load-adapter", "version", "role"]);
 
@@ -61,34 +61,37 @@
   }),
 ]);
 
-/** Stream of the group's lease and orders. */
+/** Name of the log stream that holds the group's lease and orders. */
 export function orderStream(group: string): string {
   return `orders-${group}`;
 }
 
 export class OrderTask {
-  private readonly desk: OrderDesk;
-  private readonly newest = new Map<OrderKind, Order>();
-  private readonly settled = new Map<OrderKind, number>();
+  private readonly executor: OrderDesk;
+  private readonly newestOrders = new Map<OrderKind, Order>();
+  private readonly settledFencingTokens = new Map<OrderKind, number>();
   private lease: Lease = noLease;
-  private position = 0;
-  private giveAt = 0;
+  private readOffset = 0;
+  private nextAttemptAtMs = 0;
 
   private constructor(private readonly options: OrderTaskOptions) {
     const { settings, context } = options;
-    this.desk = OrderDesk.create(settings, context.emit, Date.now());
+    this.executor = OrderDesk.create(settings, context.emit, Date.now());
   }
 
   static create(options: OrderTaskOptions): OrderTask {
     return new OrderTask(options);
   }
 
-  /** The newest order of each kind that this engine was given. */
+  /** The newest accepted order of each kind for this engine. */
   get status(): readonly Order[] {
-    return [...this.newest.values()];
+    return [...this.newestOrders.values()];
   }
 
-  /** Follows the log; throws 1901 in an outage, and is then run again. */
+  /**
+   * Reads the log; throws 1901 in an outage, after which the caller restarts
+   * it.
+   */
   async follow(signal: AbortSignal): Promise<void> {
     let isAtEnd = false;
     while (!signal.aborted) {
@@ -96,45 +99,50 @@
     }
   }
 
-  /** Gives orders, until the signal aborts. */
+  /** Executes orders until the signal aborts. */
   async give(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const now = Date.now();
-      this.carryOut(this.desk.tick(now));
+      this.perform(this.executor.tick(now));
       const order = this.nextOrder();
-      if (order !== undefined && this.desk.idle && now >= this.giveAt) {
-        this.carryOut(this.desk.take(order, now));
+      if (
+        order !== undefined &&
+        this.executor.idle &&
+        now >= this.nextAttemptAtMs
+      ) {
+        this.perform(this.executor.take(order, now));
       }
       await pause(TICK_MS, signal);
     }
   }
 
-  /** Returns whether the log was read to its end. */
+  /** Returns true once the log was read to its end. */
   private async readPage(
     waitMs: number,
     signal: AbortSignal,
   ): Promise<boolean> {
     const { log, group } = this.options;
-    const from = this.position;
+    const from = this.readOffset;
     try {
       const options = { from, waitMs, signal };
       const page = await log.read(orderStream(group), options);
-      for (const { offset, data } of page.records) this.apply(offset, data);
-      if (this.position < page.nextOffset) return false;
-      this.desk.learn([...this.newest.values()]);
+      for (const { offset, data } of page.records)
+        this.applyRecord(offset, data);
+      if (this.readOffset < page.nextOffset) return false;
+      this.executor.learn([...this.newestOrders.values()]);
       return true;
     } catch (thrown) {
       const error = toFailure(thrown, 1901);
       if (signal.aborted) return false;
       const { startOffset } = error.detail;
       if (typeof startOffset !== "number") throw error;
-      this.position = startOffset;
+      this.readOffset = startOffset;
       return false;
     }
   }
 
-  private apply(offset: number, data: Buffer): void {
-    this.position = offset + 1;
+  private applyRecord(offset: number, data: Buffer): void {
+    this.readOffset = offset + 1;
     const result = recordSchema.safeParse(parseJson(data));
     if (!result.success) return;
     const record = result.data;
@@ -144,50 +152,53 @@
     }
     const order = acceptedOrder(this.lease, record, offset);
     if (order?.runner === this.options.runner) {
-      this.newest.set(order.kind, order);
+      this.newestOrders.set(order.kind, order);
     }
   }
 
-  /** Oldest first, as an engine that checks refuses to go back. */
+  /** Oldest first: an engine that checks fencing tokens refuses older ones. */
   private nextOrder(): Order | undefined {
-    return [...this.newest.values()]
-      .filter(({ kind, fencing }) => this.settled.get(kind) !== fencing)
+    return [...this.newestOrders.values()]
+      .filter(
+        ({ kind, fencing }) => this.settledFencingTokens.get(kind) !== fencing,
+      )
       .sort((a, b) => a.fencing - b.fencing)
       .at(0);
   }
 
-  private carryOut(effects: readonly OrderEffect[]): void {
+  private perform(effects: readonly OrderEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === "engine") void this.callEngine(effect.call);
-      else this.take(effect.reply);
+      else this.handleReply(effect.reply);
     }
   }
 
-  private take(reply: OrderReply): void {
+  private handleReply(reply: OrderReply): void {
     const { kind, fencing } = reply.order;
     const { measurements } = this.options.context;
     const end = reply.kind === "failed" ? reply.error.entry.name : reply.kind;
     measurements.count("orders", { end });
-    const fenced =
+    const isFenced =
       reply.kind === "failed" && reply.error.number === failure(1701).number;
-    if (reply.kind === "confirmed" || fenced) this.settled.set(kind, fencing);
-    else this.giveAt = Date.now() + this.retryAfter(reply);
+    if (reply.kind === "confirmed" || isFenced)
+      this.settledFencingTokens.set(kind, fencing);
+    else this.nextAttemptAtMs = Date.now() + this.retryDelayMs(reply);
   }
 
-  private retryAfter(reply: OrderReply): number {
+  private retryDelayMs(reply: OrderReply): number {
     if (reply.kind === "confirmed") return 0;
     const { retryAfterMs } = reply.error.detail;
-    return typeof retryAfterMs === "number" ? retryAfterMs : REPEAT_MS;
+    return typeof retryAfterMs === "number" ? retryAfterMs : RETRY_INTERVAL_MS;
   }
 
   private async callEngine(call: OrderCall): Promise<void> {
     const { engine, settings } = this.options;
-    const timeoutMs = Math.max(SHORTEST_TIMEOUT_MS, settings.effectMs);
+    const timeoutMs = Math.max(MINIMUM_TIMEOUT_MS, settings.effectMs);
     try {
       const answer = await engine.order(call, timeoutMs);
-      this.carryOut(this.desk.answered(answer, Date.now()));
+      this.perform(this.executor.answered(answer, Date.now()));
     } catch {
-      this.carryOut(this.desk.failed(Date.now()));
+      this.perform(this.executor.failed(Date.now()));
     }
   }
 }
--- a/tests/callers/bad-input.test.ts
+++ b/tests/callers/bad-input.test.ts
@@ -10,7 +10,10 @@
   parseSettings,
   type EntrySettings,
 } from "../../src/daemon/settings.js";
-import type { AnswerWriter, Work } from "../../src/daemon/entry/work.js";
+import type {
+  AnswerWriter,
+  CallerRequest,
+} from "../../src/daemon/entry/caller-request.js";
 import { describe, it } from "../support/describe.js";
 import { sendRaw } from "../support/raw-call.js";
 
@@ -19,7 +22,7 @@
 const credential = credentialOf("dyfrwr", 0);
 const authorization = `authorization: Bearer ${credential}`;
 
-function limitsOf(changes: Partial<Limits>): Limits {
+function createLimits(changes: Partial<Limits>): Limits {
   const settings = parseSettings(
     JSON.stringify({
       role: "entry",
@@ -35,25 +38,32 @@
 
 interface TestServer extends AsyncDisposable {
   readonly address: string;
-  /** Requests that were let through. */
-  readonly served: Work[];
+  /** Requests that passed all checks. */
+  readonly served: CallerRequest[];
 }
 
 async function startServer(changes: Partial<Limits> = {}): Promise<TestServer> {
-  const served: Work[] = [];
-  const site = siteConfiguration("dyfrwr", 4);
+  const served: CallerRequest[] = [];
+  const baseConfiguration = siteConfiguration("dyfrwr", 4);
   const variant = { adapter: "welsh", version: "v2" };
   const target = { kind: "model", model: MODEL, ...variant } as const;
-  const welsh = { ...site.profiles[0], name: "welsh", target };
-  const configuration = { ...site, profiles: [...site.profiles, welsh] };
+  const welshProfile = {
+    ...baseConfiguration.profiles[0],
+    name: "welsh",
+    target,
+  };
+  const configuration = {
+    ...baseConfiguration,
+    profiles: [...baseConfiguration.profiles, welshProfile],
+  };
   const server = createCallerServer({
-    limits: limitsOf(changes),
+    limits: createLimits(changes),
     configuration: () => configuration,
     isLeaving: () => false,
-    serve: (work: Work, writer: AnswerWriter) => {
-      served.push(work);
-      const type = { name: "content-type", value: "application/json" };
-      writer.head(200, [type], true);
+    serve: (callerRequest: CallerRequest, writer: AnswerWriter) => {
+      served.push(callerRequest);
+      const contentType = { name: "content-type", value: "application/json" };
+      writer.head(200, [contentType], true);
       writer.piece(Buffer.from("{}"));
       writer.end(true);
       return Promise.resolve();
@@ -83,7 +93,7 @@
   ].join("\r\n");
 }
 
-const goodBody = JSON.stringify({ model: MODEL, prompt: "note" });
+const validBody = JSON.stringify({ model: MODEL, prompt: "note" });
 
 interface BadInput {
   readonly name: string;
@@ -94,13 +104,13 @@
 
 const badInputs: readonly BadInput[] = [
   {
-    name: "an oversized head",
-    parts: [completion(goodBody, [`x-large: ${"a".repeat(4096)}`])],
+    name: "an oversized request head",
+    parts: [completion(validBody, [`x-large: ${"a".repeat(4096)}`])],
     status: 413,
     error: /request-too-large/,
   },
   {
-    name: "an announced body over the limit, before it is sent",
+    name: "a declared body length over the limit, before the body is sent",
     parts: [completion("").replace("length: 0", "length: 9999999")],
     status: 413,
     error: /request-too-large/,
@@ -140,66 +150,66 @@
   },
   {
     name: "an unknown profile",
-    parts: [completion(goodBody, ["apricotdeck-profile: nobody"])],
+    parts: [completion(validBody, ["apricotdeck-profile: nobody"])],
     status: 404,
     error: /profile-unknown/,
   },
   {
     name: "a missing credential",
-    parts: [completion(goodBody).replace(`${authorization}\r\n`, "")],
+    parts: [completion(validBody).replace(`${authorization}\r\n`, "")],
     status: 401,
     error: /credential-rejected/,
   },
   {
     name: "a wrong credential",
-    parts: [completion(goodBody).replace(credential, "guess")],
+    parts: [completion(validBody).replace(credential, "guess")],
     status: 401,
     error: /credential-rejected/,
   },
   {
     name: "an unknown path",
-    parts: [completion(goodBody).replace("/v1/completions", "/v1/files")],
+    parts: [completion(validBody).replace("/v1/completions", "/v1/files")],
     status: 404,
     error: /path-unknown/,
   },
   {
     name: "a method that the path doesn't take",
-    parts: [completion(goodBody).replace("POST", "PUT")],
+    parts: [completion(validBody).replace("POST", "PUT")],
     status: 405,
     error: /method-not-allowed/,
   },
   {
     name: "a header with a line break in its name",
-    parts: [completion(goodBody, ["x-\rbad: 1"])],
+    parts: [completion(validBody, ["x-\rbad: 1"])],
     status: 400,
     error: /request-malformed/,
   },
   {
-    name: "both a content length and chunks",
-    parts: [completion(goodBody, ["transfer-encoding: chunked"])],
+    name: "both a content length and chunked coding",
+    parts: [completion(validBody, ["transfer-encoding: chunked"])],
     status: 400,
     error: /request-malformed/,
   },
   {
     name: "two content lengths that differ",
-    parts: [completion(goodBody, ["content-length: 1"])],
+    parts: [completion(validBody, ["content-length: 1"])],
     status: 400,
     error: /request-malformed/,
   },
   {
-    name: "no HTTP at all",
+    name: "input that isn't HTTP",
     parts: ["\u0016\u0003\u0001hello\r\n\r\n"],
     status: 400,
     error: /request-malformed/,
   },
   {
-    name: "a body that never comes",
+    name: "a body that never arrives",
     parts: [completion("").replace("length: 0", "length: 20")],
     status: 408,
     error: /request-too-slow/,
   },
   {
-    name: "a head that never ends",
+    name: "a request head that never ends",
     parts: ["POST /v1/completions HTTP/1.1\r\nhost: entry\r\n"],
     status: 408,
     error: /request-too-slow/,
@@ -218,18 +228,22 @@
     });
   }
 
-  it("passes no credential and no hop header on to the runner", async () => {
+  it("forwards no credential and no hop-by-hop header to the runner", async () => {
     await using server = await startServer();
     const extra = ["x-forwarded-for: 10.0.0.1", "te: trailers"];
-    const answer = await sendRaw(server.address, [completion(goodBody, extra)]);
+    const answer = await sendRaw(server.address, [
+      completion(validBody, extra),
+    ]);
     assert.is(answer.status, 200);
     assert.equal(server.served[0].headers, []);
   });
 
-  it("tells the runner the adapter and version of the profile", async () => {
+  it("sends the adapter and version of the profile to the runner", async () => {
     await using server = await startServer();
     const extra = ["apricotdeck-profile: welsh", "x-model-adapter: other"];
-    const answer = await sendRaw(server.address, [completion(goodBody, extra)]);
+    const answer = await sendRaw(server.address, [
+      completion(validBody, extra),
+    ]);
     assert.is(answer.status, 200, answer.text);
     assert.equal(server.served[0].headers, [
       { name: "x-model-adapter", value: "welsh" },
@@ -237,9 +251,9 @@
     ]);
   });
 
-  it("takes bytes behind a short content length for another request", async () => {
+  it("treats bytes after a short content length as another request", async () => {
     await using server = await startServer();
-    const smuggled = completion(goodBody);
+    const smuggled = completion(validBody);
     const short = completion("{}")
       .replace("connection: close\r\n", "")
       .concat(smuggled.replace(authorization, "authorization: Bearer guess"));
--- a/tests/callers/stalled-caller.test.ts
+++ b/tests/callers/stalled-caller.test.ts
@@ -11,7 +11,7 @@
 import { describe, it } from "../support/describe.js";
 
 const PIECE = Buffer.alloc(256 * 1024, "a");
-const PIECE_MS = 5;
+const PIECE_INTERVAL_MS = 5;
 
 const { limits } = parseSettings(
   JSON.stringify({
@@ -26,26 +26,25 @@
 
 describe("a caller that stops reading", () => {
   /*
-   * The caller opens a stream and reads nothing, but keeps the connection. The
-   * engine goes on, so the entry would keep more and more of the answer in
-   * memory. After the stall limit the connection is cut, and the request
-   * learns that its caller is gone.
+   * A caller that keeps its connection open without reading would make the
+   * entry buffer the engine's answer without bound. After the stall limit the
+   * entry breaks the connection and aborts the writer's signal.
    */
-  it("is cut off after the stall limit, by one guard", async () => {
-    const seen = { listeners: 0, isGone: false };
+  it("is disconnected after the stall limit, by a single timer", async () => {
+    const observed = { listeners: 0, callerGone: false };
     const server = createServer((_request, response) => {
       const options = { request: "r", streamed: true, limits };
       const writer = createAnswerWriter(response, options);
       writer.signal.addEventListener("abort", () => {
-        seen.isGone = true;
+        observed.callerGone = true;
       });
       void (async () => {
         writer.head(200, [], true);
-        while (!seen.isGone) {
+        while (!observed.callerGone) {
           writer.piece(PIECE);
-          await sleep(PIECE_MS);
+          await sleep(PIECE_INTERVAL_MS);
           const count = response.listenerCount("drain");
-          seen.listeners = Math.max(seen.listeners, count);
+          observed.listeners = Math.max(observed.listeners, count);
         }
       })();
     });
@@ -56,9 +55,9 @@
     socket.pause();
     socket.on("error", () => undefined);
     socket.write("GET / HTTP/1.1\r\nhost: entry\r\n\r\n");
-    while (!seen.isGone) await sleep(PIECE_MS);
+    while (!observed.callerGone) await sleep(PIECE_INTERVAL_MS);
     socket.destroy();
     server.close();
-    assert.ok(seen.listeners <= 2, `${seen.listeners} listeners`);
+    assert.ok(observed.listeners <= 2, `${observed.listeners} listeners`);
   });
 });
--- a/tests/callers/unmarked-answers.test.ts
+++ b/tests/callers/unmarked-answers.test.ts
@@ -2,7 +2,7 @@
 import { connect } from "node:net";
 import * as assert from "uvu/assert";
 import { createAnswerWriter } from "../../src/daemon/entry/answer-writer.js";
-import type { AnswerWriter } from "../../src/daemon/entry/work.js";
+import type { AnswerWriter } from "../../src/daemon/entry/caller-request.js";
 import { listen } from "../../src/daemon/listening.js";
 import {
   parseSettings,
@@ -12,11 +12,11 @@
 import { describe, it } from "../support/describe.js";
 import { callHttp, type SeenAnswer } from "../support/http-call.js";
 
-const HELD_BYTES = 1024;
-const LARGE = Buffer.alloc(2 * HELD_BYTES, "a");
-const TYPE = [{ name: "content-type", value: "text/plain" }];
-/** The first bytes are with the caller by then. */
-const LATER_MS = 100;
+const BUFFER_LIMIT_BYTES = 1024;
+const LARGE_PIECE = Buffer.alloc(2 * BUFFER_LIMIT_BYTES, "a");
+const CONTENT_TYPE = [{ name: "content-type", value: "text/plain" }];
+/** Long enough for the caller to receive the first bytes. */
+const FIRST_BYTES_DELAY_MS = 100;
 
 const settings = parseSettings(
   JSON.stringify({
@@ -24,23 +24,28 @@
     name: "entry",
     dataCentre: "lac",
     platform: { log: "http://127.0.0.1:1", vmList: "http://127.0.0.1:1" },
-    limits: { answerBytes: HELD_BYTES },
+    limits: { answerBytes: BUFFER_LIMIT_BYTES },
   }),
   "test",
 ) as EntrySettings;
 
-type Answer = (writer: AnswerWriter) => void;
+type WriteAnswer = (writer: AnswerWriter) => void;
 
-async function serve(answer: Answer, streamed: boolean) {
+async function startServer(writeAnswer: WriteAnswer, streamed: boolean) {
   const { limits } = settings;
   const server = createServer((_request, response) => {
-    answer(createAnswerWriter(response, { request: "r", streamed, limits }));
+    writeAnswer(
+      createAnswerWriter(response, { request: "r", streamed, limits }),
+    );
   });
   return listen(server, { host: "127.0.0.1", port: 0 });
 }
 
-async function see(answer: Answer, streamed = false): Promise<SeenAnswer> {
-  await using server = await serve(answer, streamed);
+async function observeAnswer(
+  writeAnswer: WriteAnswer,
+  streamed = false,
+): Promise<SeenAnswer> {
+  await using server = await startServer(writeAnswer, streamed);
   return await callHttp({ address: server.address, path: "/" });
 }
 
@@ -52,101 +57,101 @@
   };
 }
 
-function later(then: () => void): void {
-  setTimeout(then, LATER_MS);
+function afterFirstBytes(action: () => void): void {
+  setTimeout(action, FIRST_BYTES_DELAY_MS);
 }
 
-const BY_CONNECTION = {
+const CLOSE_DELIMITED = {
   length: undefined,
   coding: undefined,
   connection: "close",
 };
 
-describe("an answer whose end nobody vouches for", () => {
-  // The caller gets the bytes, no length and no chunks, and the end of the
-  // connection: as much as the backend server said. The outcome names it.
-  it("goes out without a mark of ours", async () => {
-    const seen = await see((writer) => {
-      writer.head(200, TYPE, false);
+describe("an answer whose end isn't confirmed", () => {
+  // A length or chunked coding would mark the answer as complete, which the
+  // backend server didn't. The caller gets a body delimited by connection
+  // close and the outcome "unmarked".
+  it("is sent without an end mark of the entry", async () => {
+    const observed = await observeAnswer((writer) => {
+      writer.head(200, CONTENT_TYPE, false);
       writer.piece(Buffer.from("half of"));
       writer.end(false);
     });
-    assert.equal(framingOf(seen), BY_CONNECTION);
-    assert.is(seen.headers["apricotdeck-outcome"], "unmarked");
-    assert.equal([seen.status, seen.body], [200, "half of"]);
-    assert.is(seen.fault, undefined);
+    assert.equal(framingOf(observed), CLOSE_DELIMITED);
+    assert.is(observed.headers["apricotdeck-outcome"], "unmarked");
+    assert.equal([observed.status, observed.body], [200, "half of"]);
+    assert.is(observed.fault, undefined);
   });
 
-  // Too large to hold back, its head goes out before its end is known. Chunks
-  // would promise a mark that nobody can give when the end comes.
-  it("goes out without chunks when it is too large to hold back", async () => {
-    const seen = await see((writer) => {
-      writer.head(200, TYPE, false);
-      writer.piece(LARGE);
+  // The head of an answer over the buffer limit is sent before its end is
+  // known, so chunked coding would require an end mark that may not exist.
+  it("is sent without chunked coding when it exceeds the buffer limit", async () => {
+    const observed = await observeAnswer((writer) => {
+      writer.head(200, CONTENT_TYPE, false);
+      writer.piece(LARGE_PIECE);
       writer.end(false);
     });
-    assert.equal(framingOf(seen), BY_CONNECTION);
-    assert.is(seen.body.length, LARGE.length);
-    assert.is(seen.fault, undefined);
+    assert.equal(framingOf(observed), CLOSE_DELIMITED);
+    assert.is(observed.body.length, LARGE_PIECE.length);
+    assert.is(observed.fault, undefined);
   });
 
-  // The caller sees its connection reset. The answer is with it in part, ended
-  // by the connection only, and breaks off: an orderly close would be its end.
-  it("ends in a reset when it is known to have broken off", async () => {
-    const seen = await see((writer) => {
-      writer.head(200, TYPE, false);
-      writer.piece(LARGE);
-      later(() => {
+  // A partly sent answer that is delimited by connection close breaks off: a
+  // normal close would make the truncated answer look complete.
+  it("ends in a reset when it is known to be incomplete", async () => {
+    const observed = await observeAnswer((writer) => {
+      writer.head(200, CONTENT_TYPE, false);
+      writer.piece(LARGE_PIECE);
+      afterFirstBytes(() => {
         writer.fail(failure(1216));
       });
     });
-    assert.equal(framingOf(seen), BY_CONNECTION);
-    assert.is(seen.fault, "ECONNRESET");
+    assert.equal(framingOf(observed), CLOSE_DELIMITED);
+    assert.is(observed.fault, "ECONNRESET");
   });
 
-  // The caller sees its answer cut. The head was a marked answer's and went out
-  // in chunks; the answer was had again without a mark, and its end isn't
-  // enough for the last chunk.
-  it("is cut where a mark was promised", async () => {
+  // The head announced a marked end and was sent with chunked coding. The
+  // answer then ends without a mark, so the last chunk must not be sent.
+  it("is reset when its head announced a marked end", async () => {
     for (const streamed of [false, true]) {
-      const seen = await see((writer) => {
-        writer.head(200, TYPE, true);
-        writer.piece(LARGE);
-        later(() => {
+      const observed = await observeAnswer((writer) => {
+        writer.head(200, CONTENT_TYPE, true);
+        writer.piece(LARGE_PIECE);
+        afterFirstBytes(() => {
           writer.end(false);
         });
       }, streamed);
-      assert.is(framingOf(seen).coding, "chunked");
-      assert.is(seen.fault, "ECONNRESET");
-      assert.not.ok(seen.body.includes("[DONE]"));
+      assert.is(framingOf(observed).coding, "chunked");
+      assert.is(observed.fault, "ECONNRESET");
+      assert.not.ok(observed.body.includes("[DONE]"));
     }
   });
 
-  // A caller of a stream gets an answer that is no stream, one event without a
-  // closing event, and the end of the connection.
-  it("gets no closing event from us", async () => {
-    const seen = await see((writer) => {
-      writer.head(400, TYPE, false);
+  // A caller that asked for a stream gets a plain answer without a marked end:
+  // a closing event would mark it as complete.
+  it("gets no closing event from the entry", async () => {
+    const observed = await observeAnswer((writer) => {
+      writer.head(400, CONTENT_TYPE, false);
       writer.piece(Buffer.from("half of"));
       writer.end(false);
     }, true);
-    assert.equal(framingOf(seen), BY_CONNECTION);
-    assert.is(seen.body, "data: half of\n\n");
-    assert.is(seen.fault, undefined);
+    assert.equal(framingOf(observed), CLOSE_DELIMITED);
+    assert.is(observed.body, "data: half of\n\n");
+    assert.is(observed.fault, undefined);
   });
 
-  it("that was given up gets no end from a later attempt", async () => {
-    // Caller: the first part of one attempt's answer and the end of another's,
-    // closed in good order. The first was too large to hold back and broke off;
-    // in the pause before its reset another attempt answered.
+  it("isn't continued by a later attempt after it was discarded", async () => {
+    // The first attempt's answer exceeded the buffer, was partly sent and broke
+    // off. If another attempt answers during the delay before the reset, the
+    // caller must not get its end appended to the first part.
     for (const second of [
       Buffer.from("b"),
-      Buffer.alloc(2 * HELD_BYTES, "b"),
+      Buffer.alloc(2 * BUFFER_LIMIT_BYTES, "b"),
     ]) {
-      const { body, fault } = await see((writer) => {
+      const { body, fault } = await observeAnswer((writer) => {
         writer.head(200, [], false);
-        writer.piece(LARGE);
-        later(() => {
+        writer.piece(LARGE_PIECE);
+        afterFirstBytes(() => {
           writer.discard();
           writer.head(200, [], true);
           writer.piece(second);
@@ -158,11 +163,11 @@
     }
   });
 
-  it("isn't closed by a line of an event's data", async () => {
-    // Caller: half of an event's data, and a closing event that its backend
-    // server never sent, behind which others follow. An event of several lines
-    // of data was written with the name of the first line only.
-    const { body } = await see((writer) => {
+  it("isn't ended by a closing event inside an event's data", async () => {
+    // Every line of an event's data needs the "data:" field name. With only the
+    // first line named, data that contains a closing event would end the stream
+    // for the caller.
+    const { body } = await observeAnswer((writer) => {
       writer.head(200, [], true);
       writer.piece(Buffer.from("a\n\ndata: [DONE]"));
       writer.piece(Buffer.from("b"));
@@ -173,18 +178,18 @@
   });
 });
 
-describe("a caller that knows no chunks", () => {
-  // The caller of HTTP/1.0 sees its connection reset. Its answer can end with
-  // the connection only, and breaks off after its first part has gone out.
+describe("a caller without support for chunked coding", () => {
+  // An answer over HTTP/1.0 is delimited by connection close, so a normal close
+  // after its first part would make the truncated answer look complete.
   it("sees a reset when its answer breaks off", async () => {
-    const answer: Answer = (writer) => {
-      writer.head(200, TYPE, true);
-      writer.piece(LARGE);
-      later(() => {
+    const writeAnswer: WriteAnswer = (writer) => {
+      writer.head(200, CONTENT_TYPE, true);
+      writer.piece(LARGE_PIECE);
+      afterFirstBytes(() => {
         writer.fail(failure(1216));
       });
     };
-    await using server = await serve(answer, false);
+    await using server = await startServer(writeAnswer, false);
     const [host, port] = server.address.split(":");
     const fault = await new Promise<string | undefined>((resolve) => {
       const socket = connect(Number(port), host);
--- a/tests/path/early-ends.test.ts
+++ b/tests/path/early-ends.test.ts
@@ -11,37 +11,41 @@
 import { describe, it } from "../support/describe.js";
 import { callHttp, type SeenAnswer } from "../support/http-call.js";
 
-/** Long enough for the head and the first bytes to be taken before a reset. */
-const RESET_AFTER_MS = 100;
+/** Long enough for the head and first bytes to be received before a reset. */
+const RESET_DELAY_MS = 100;
 
-/** More than an entry holds back by default. */
+/** More than an entry buffers by default. */
 const LARGE_BYTES = 24 * 1024 * 1024;
 
-const UNMARKED = "HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf of";
-const MARKED: Readonly<Record<string, string>> = {
-  "a length":
+const UNMARKED_ANSWER =
+  "HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf of";
+const TRUNCATED_MARKED_ANSWERS: Readonly<Record<string, string>> = {
+  "content length":
     "HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 20\r\n\r\nhalf of",
-  "a length and a close":
+  "content length and connection close":
     "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 20\r\n\r\nhalf of",
   chunks:
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n7\r\nhalf of\r\n",
-  "chunks and a close":
+  "chunks and connection close":
     "HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n7\r\nhalf of\r\n",
 };
 
-type Ending = (socket: Socket) => void;
+type EndConnection = (socket: Socket) => void;
 
-const closeInOrder: Ending = (socket) => {
+const closeNormally: EndConnection = (socket) => {
   socket.end();
 };
 
-const reset: Ending = (socket) => {
+const resetAfterDelay: EndConnection = (socket) => {
   setTimeout(() => {
     socket.resetAndDestroy();
-  }, RESET_AFTER_MS);
+  }, RESET_DELAY_MS);
 };
 
-function answering(text: string, end: Ending): (socket: Socket) => void {
+function answerWith(
+  text: string,
+  end: EndConnection,
+): (socket: Socket) => void {
   return (socket) => {
     socket.write(text);
     end(socket);
@@ -63,8 +67,11 @@
   return site;
 }
 
-/** An order runs once at the most, so that no second attempt hides the first. */
-function order(site: Site, onFirstPart?: () => void): Promise<SeenAnswer> {
+/** The profile isn't repeatable, so no second attempt hides the first. */
+function sendNonRepeatableRequest(
+  site: Site,
+  onFirstPart?: () => void,
+): Promise<SeenAnswer> {
   return callHttp({
     address: site.entries[0].daemon.process.callers,
     path: "/services/records/valves/7",
@@ -77,20 +84,19 @@
 }
 
 describe("an answer that ends early", () => {
-  // The caller gets half an answer with status 200 and a content-length that
-  // fits it. A plain service answers with neither length nor chunks and its
-  // process ends inside: the connection closes in good order, as such an answer
-  // does when it is whole, and the agent vouches for what nobody can know. A
-  // reset in its place is a failure for sure and passed for the end as well.
-  it("without a mark of its end gets none from us", async () => {
+  // A plain service that answers with neither a length nor chunked coding may
+  // exit halfway, and its connection closes as it does after a complete answer.
+  // The caller must not get the truncated answer with a matching content
+  // length, nor as complete when the connection is reset instead.
+  it("without an end mark gets none from the entry", async () => {
     await using site = await startServiceSite();
     const [{ service }] = site.services;
-    service.faults.answerRaw = answering(UNMARKED, closeInOrder);
-    const closed = await order(site);
-    service.faults.answerRaw = answering(UNMARKED, reset);
-    const broken = await order(site);
+    service.faults.answerRaw = answerWith(UNMARKED_ANSWER, closeNormally);
+    const closed = await sendNonRepeatableRequest(site);
+    service.faults.answerRaw = answerWith(UNMARKED_ANSWER, resetAfterDelay);
+    const broken = await sendNonRepeatableRequest(site);
     const { headers } = closed;
-    const seen = {
+    const observed = {
       closed: {
         status: closed.status,
         body: closed.body,
@@ -104,7 +110,7 @@
         outcome: broken.headers["apricotdeck-outcome"],
       },
     };
-    assert.equal(seen, {
+    assert.equal(observed, {
       closed: {
         status: 200,
         body: "half of",
@@ -117,29 +123,32 @@
     });
   });
 
-  // The caller gets the head and a first part, then the end of its connection:
-  // an orderly one where the backend server closed in order, a reset where it
-  // reset. The answer is too large to hold back until its end is known.
-  it("is passed on as it ends when it is too large to hold back", async () => {
+  // The answer exceeds the entry's buffer, so its first part is sent before its
+  // end is known. The caller's connection must then end as the backend server's
+  // did: with a normal close or with a reset.
+  it("keeps its kind of end when it exceeds the buffer limit", async () => {
     await using site = await startServiceSite();
     const [{ service }] = site.services;
-    for (const end of [closeInOrder, reset]) {
-      const text = UNMARKED + "a".repeat(LARGE_BYTES);
+    for (const end of [closeNormally, resetAfterDelay]) {
+      const text = UNMARKED_ANSWER + "a".repeat(LARGE_BYTES);
       const firstPart = createDeferred<undefined>();
       service.faults.answerRaw = (socket) => {
         socket.write(text);
-        // A reset discards what the caller's side hasn't taken yet.
+        // A reset discards data that the caller hasn't received yet.
         void firstPart.promise.then(() => {
           end(socket);
         });
       };
-      const { status, headers, body, fault } = await order(site, () => {
-        firstPart.resolve(undefined);
-      });
+      const { status, headers, body, fault } = await sendNonRepeatableRequest(
+        site,
+        () => {
+          firstPart.resolve(undefined);
+        },
+      );
       assert.equal([status, headers.connection], [200, "close"]);
       assert.is(headers["transfer-encoding"], undefined);
       assert.is(headers["content-length"], undefined);
-      if (end === reset) assert.is(fault, "ECONNRESET");
+      if (end === resetAfterDelay) assert.is(fault, "ECONNRESET");
       else {
         assert.is(fault, undefined);
         assert.is(body.length, "half of".length + LARGE_BYTES);
@@ -147,18 +156,18 @@
     }
   });
 
-  // The caller gets a 502 that says "broken off", never the half. The answer
-  // says itself where it ends, and its connection ends before that.
-  it("before its mark is a failure, closed or reset", async () => {
+  // The answer's framing tells where it ends, and the connection ends before
+  // that. The caller must get a 502 "broken-off", not the truncated answer.
+  it("before its marked end is a failure, whether closed or reset", async () => {
     await using site = await startServiceSite();
     const [{ service }] = site.services;
-    for (const [mark, text] of Object.entries(MARKED)) {
-      for (const end of [closeInOrder, reset]) {
-        service.faults.answerRaw = answering(text, end);
-        const { status, headers } = await order(site);
+    for (const [mark, text] of Object.entries(TRUNCATED_MARKED_ANSWERS)) {
+      for (const end of [closeNormally, resetAfterDelay]) {
+        service.faults.answerRaw = answerWith(text, end);
+        const { status, headers } = await sendNonRepeatableRequest(site);
         const outcome = headers["apricotdeck-outcome"];
-        const how = `${mark}, ${end === reset ? "reset" : "closed"}`;
-        assert.equal([status, outcome], [502, "broken-off"], how);
+        const label = `${mark}, ${end === resetAfterDelay ? "reset" : "closed"}`;
+        assert.equal([status, outcome], [502, "broken-off"], label);
       }
     }
   });
--- a/tests/path/whole-path.test.ts
+++ b/tests/path/whole-path.test.ts
@@ -31,14 +31,14 @@
   });
 }
 
-/** The text that the stand-in engine answers to a prompt. */
+/** The text with which the stand-in engine answers a prompt. */
 function expectedText(prompt: string, tokens: number): string {
   const digest = createHash("sha256").update(prompt).digest("hex").slice(0, 8);
   return Array.from({ length: tokens }, (_, i) => `${digest}.${i} `).join("");
 }
 
-describe("the whole path through separate processes", () => {
-  it("answers the unmodified OpenAI client, streamed and whole", async () => {
+describe("the request path through separate processes", () => {
+  it("answers the unmodified OpenAI client, with and without streaming", async () => {
     await using site = await startSmallSite();
     await site.publish(siteConfiguration("dyfrwr", 1));
     await site.settled();
@@ -64,19 +64,19 @@
     }
     assert.is(text, expectedText(prompt, 20));
 
-    const whole = await client.chat.completions.create({
+    const complete = await client.chat.completions.create({
       model: MODEL,
       messages,
       max_completion_tokens: 5,
     });
-    assert.is(whole.choices[0].message.content, expectedText(prompt, 5));
+    assert.is(complete.choices[0].message.content, expectedText(prompt, 5));
 
-    const plain = await client.completions.create({
+    const completion = await client.completions.create({
       model: MODEL,
       prompt,
       max_tokens: 5,
     });
-    assert.is(plain.choices[0].text, expectedText(prompt, 5));
+    assert.is(completion.choices[0].text, expectedText(prompt, 5));
 
     const address = site.entries[0].daemon.process.callers;
     const records = await fetch(`http://${address}/services/records/valves/7`, {
