--- a/src/daemon/background-task.ts
+++ b/src/daemon/background-task.ts
@@ -1,32 +1,32 @@
-/** Runs a task that must not end, again and again after failures. */
+/** Runs long-lived tasks and restarts them, with backoff after failures. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { toFailure, type Emit } from "../internal.js";
 
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 2000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 2000;
 
 export interface TaskOptions {
   readonly name: string;
   readonly emit: Emit;
   readonly signal: AbortSignal;
-  /** Ends by returning or throwing; both start it again after a pause. */
+  /** Restarted after a pause, whether it returns or throws. */
   readonly run: (signal: AbortSignal) => Promise<void>;
 }
 
 export async function runTask(options: TaskOptions): Promise<void> {
   const { name, emit, signal, run } = options;
-  let pauseMs = FIRST_PAUSE_MS;
+  let backoffMs = INITIAL_BACKOFF_MS;
   while (!signal.aborted) {
     try {
       await run(signal);
-      pauseMs = FIRST_PAUSE_MS;
+      backoffMs = INITIAL_BACKOFF_MS;
     } catch (error) {
       if (isAborted(signal)) return;
       const { number, message } = toFailure(error, 1215);
       emit(105, { task: name, error: number, reason: message });
-      pauseMs = Math.min(pauseMs * 2, LONGEST_PAUSE_MS);
+      backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
     }
-    await pause(pauseMs, signal);
+    await pause(backoffMs, signal);
   }
 }
 
@@ -36,7 +36,7 @@
   try {
     await sleep(ms, undefined, { signal });
   } catch {
-    // Aborted: the caller looks at the signal.
+    // Aborted: the caller checks the signal.
   }
 }
 
--- a/src/daemon/balance/expert-balance.ts
+++ b/src/daemon/balance/expert-balance.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the experts of the agent's group balanced. Every agent sends the
- * window reports of its own ranks to the first member of the group, and that
- * one plans. Two that take themselves for the first do no harm: a map is only
- * in force once all ranks have voted for it.
+ * Balances the experts of the agent's group across its ranks. Every agent sends
+ * the window reports of its own ranks to the first member of the group, which
+ * plans the expert map. Two agents that both plan as first member do no harm: a
+ * map only takes effect once all ranks have voted for it.
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import {
@@ -37,14 +37,14 @@
   readonly configuration: () => Configuration | undefined;
 }
 
-/** A switch stalls a step or two of a busy group; see measurements/expertmap. */
-const SWITCH_SECONDS = 0.05;
-/** Room beside its slots that a rank has for weights that are on their way. */
-const STAGING_EXPERTS = 64;
-/** A proposal may take so much longer than the fetch that was foretold. */
-const TRANSFER_MARGIN = 4;
-const LEAST_PROPOSAL_MS = 20_000;
-/** The engines' step reports don't tell the work of requests by rank. */
+/** A switch delays one or two steps of a busy group; see measurements/expertmap. */
+const MAP_SWITCH_SECONDS = 0.05;
+/** Experts that a rank has room to stage in addition to those in its slots. */
+const STAGING_EXPERTS_PER_RANK = 64;
+/** Timeout of a proposal: this multiple of the predicted transfer, plus a base. */
+const TRANSFER_TIMEOUT_FACTOR = 4;
+const BASE_PROPOSAL_TIMEOUT_MS = 20_000;
+/** The engines' step reports don't attribute request tokens to ranks. */
 const NO_REQUEST_TOKENS = 0;
 
 export class ExpertBalance implements AsyncDisposable {
@@ -55,16 +55,16 @@
   };
 
   private readonly collector: WindowCollector;
-  private readonly client: ReportClient;
+  private readonly reportClient: ReportClient;
   private assembly: WindowAssembly | undefined;
   private planner: PlannerThread | undefined;
-  private plannedShape = "";
-  private switching = false;
-  private stepGroup = "";
+  private plannerShape = "";
+  private isProposalPending = false;
+  private reportedGroup = "";
 
   private constructor(private readonly options: ExpertBalanceOptions) {
     const { context, settings } = options;
-    this.client = ReportClient.create(context, settings.transport);
+    this.reportClient = ReportClient.create(context, settings.transport);
     const { windowSteps } = settings.limits;
     this.collector = WindowCollector.create({
       ...DEFAULT_WINDOWS,
@@ -76,19 +76,19 @@
     return new ExpertBalance(options);
   }
 
-  /** Takes in the step reports of the own engine's ranks. */
+  /** Adds the step reports of the local engine's ranks. */
   onSteps(reports: readonly StepReport[]): void {
     const map = this.mapInForce();
     if (map === undefined) return;
     for (const report of reports) {
-      this.noticeNewGroup(report);
+      this.resetOnNewGroup(report);
       const windows = this.collector.add(report, map, NO_REQUEST_TOKENS);
-      for (const window of windows) this.deliver(window);
+      for (const window of windows) this.sendToPlanner(window);
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.client[Symbol.dispose]();
+    this.reportClient[Symbol.dispose]();
     await this.planner?.[Symbol.asyncDispose]();
   }
 
@@ -98,21 +98,21 @@
     return { ...inForce.map, version: inForce.version };
   }
 
-  /** A group that forms anew counts its steps from the start. */
-  private noticeNewGroup({ group }: StepReport): void {
+  /** A group that forms again restarts its step numbers, so windows restart too. */
+  private resetOnNewGroup({ group }: StepReport): void {
     const name = `${group.number}/${group.author}`;
-    if (name === this.stepGroup) return;
-    this.stepGroup = name;
+    if (name === this.reportedGroup) return;
+    this.reportedGroup = name;
     this.collector.reset();
     this.assembly?.reset();
   }
 
-  private deliver(report: RankReport): void {
+  private sendToPlanner(report: RankReport): void {
     const { maps, settings } = this.options;
     const leader = maps()?.leader;
     if (leader === undefined) return;
-    if (leader.name === settings.name) this.take(report);
-    else this.client.send(leader.address, settings.group, report);
+    if (leader.name === settings.name) this.addReport(report);
+    else this.reportClient.send(leader.address, settings.group, report);
   }
 
   private onReport(
@@ -121,11 +121,11 @@
   ): void {
     const { clock } = this.options.context;
     clock.observe(request.clock);
-    if (request.group === this.options.settings.group) this.take(request);
+    if (request.group === this.options.settings.group) this.addReport(request);
     reply(null, { clock: clock.read() });
   }
 
-  private take(report: RankReport): void {
+  private addReport(report: RankReport): void {
     const { settings, configuration } = this.options;
     const group = configuration()?.groups.find(
       ({ name }) => name === settings.group,
@@ -133,11 +133,11 @@
     if (group?.kind !== "model") return;
     this.assembly ??= WindowAssembly.create(group.ranks);
     for (const reports of this.assembly.add(report)) {
-      void this.decide(group, reports);
+      void this.planAndPropose(group, reports);
     }
   }
 
-  private async decide(
+  private async planAndPropose(
     group: ModelGroup,
     reports: readonly RankReport[],
   ): Promise<void> {
@@ -145,8 +145,10 @@
     const map = this.mapInForce();
     if (map === undefined) return;
     try {
-      const planner = await this.plannerOf(group);
-      const plan = await planner.decide(this.windowOf(group, map, reports));
+      const planner = await this.plannerFor(group);
+      const plan = await planner.decide(
+        this.plannerWindow(group, map, reports),
+      );
       if (plan.kind === "move") await this.propose(plan);
     } catch (error) {
       const { number, message } = toFailure(error, 1215);
@@ -154,7 +156,7 @@
     }
   }
 
-  private windowOf(
+  private plannerWindow(
     { bytesPerExpert }: ModelGroup,
     map: ExpertMap,
     reports: readonly RankReport[],
@@ -164,43 +166,47 @@
     return {
       map,
       reports,
-      switchPending: this.switching,
+      switchPending: this.isProposalPending,
       costs: {
         bytesPerExpert,
         storeBytesPerSecond: weightBytesPerSecond,
-        switchSeconds: SWITCH_SECONDS,
-        stagingExpertsPerRank: STAGING_EXPERTS,
+        switchSeconds: MAP_SWITCH_SECONDS,
+        stagingExpertsPerRank: STAGING_EXPERTS_PER_RANK,
       },
       skewWeight: configuration()?.balance.skewWeight ?? 0,
     };
   }
 
-  /** A published change of the group's shape begins the planning anew. */
-  private async plannerOf(group: ModelGroup): Promise<PlannerThread> {
+  /** Replaces the planner when a published change alters the group's shape. */
+  private async plannerFor(group: ModelGroup): Promise<PlannerThread> {
     const { ranks, layers, experts, slotsPerRank } = group;
     const shape = { ranks, layers, experts, slotsPerRank };
-    const named = JSON.stringify(shape);
-    if (this.planner !== undefined && named === this.plannedShape) {
+    const shapeKey = JSON.stringify(shape);
+    if (this.planner !== undefined && shapeKey === this.plannerShape) {
       return this.planner;
     }
-    const old = this.planner;
-    this.plannedShape = named;
+    const previousPlanner = this.planner;
+    this.plannerShape = shapeKey;
     this.assembly = WindowAssembly.create(ranks);
-    const created = PlannerThread.create({ shape }, this.options.context.emit);
-    this.planner = created;
-    await old?.[Symbol.asyncDispose]();
-    return created;
+    const newPlanner = PlannerThread.create(
+      { shape },
+      this.options.context.emit,
+    );
+    this.planner = newPlanner;
+    await previousPlanner?.[Symbol.asyncDispose]();
+    return newPlanner;
   }
 
   private async propose({ map, predicted }: MovePlan): Promise<void> {
-    if (this.switching) return;
-    this.switching = true;
+    if (this.isProposalPending) return;
+    this.isProposalPending = true;
     const transferMs = predicted.transferSeconds * 1000;
-    const timeoutMs = LEAST_PROPOSAL_MS + TRANSFER_MARGIN * transferMs;
+    const timeoutMs =
+      BASE_PROPOSAL_TIMEOUT_MS + TRANSFER_TIMEOUT_FACTOR * transferMs;
     try {
       await this.options.maps()?.proposeMap(map, timeoutMs);
     } finally {
-      this.switching = false;
+      this.isProposalPending = false;
     }
   }
 }
--- a/src/daemon/balance/report-client.ts
+++ b/src/daemon/balance/report-client.ts
@@ -24,13 +24,13 @@
     return new ReportClient(context, transport);
   }
 
-  /** A report that is lost is missing from its window, which goes on. */
+  /** Doesn't retry: the window of a lost report continues without it. */
   send(address: string, group: string, report: RankReport): void {
     const clock = this.context.clock.read();
     const { rank, window, mapVersion, busySeconds, requestTokens } = report;
     const tokens = Array.from(report.tokens);
-    const counted = { tokens, busySeconds, requestTokens };
-    const message = { clock, group, rank, window, mapVersion, ...counted };
+    const measurements = { tokens, busySeconds, requestTokens };
+    const message = { clock, group, rank, window, mapVersion, ...measurements };
     const options = { deadline: Date.now() + REPORT_TIMEOUT_MS };
     this.connect(address).reportWindow(
       message,
--- a/src/daemon/bounded-output.ts
+++ b/src/daemon/bounded-output.ts
@@ -1,42 +1,42 @@
 /**
- * Lines to standard output that never hold the process up. Node writes to a
- * pipe synchronously: a reader that stalls would stop every request. So lines
- * are gathered and written from another thread, one write at a time; while a
- * reader stalls the newest lines are dropped and counted, and the count is
- * told when it reads again.
+ * Writes lines to standard output without blocking the process. Node writes to
+ * a pipe synchronously, so a stalled reader would stop every request. Lines are
+ * therefore buffered and written from another thread, one write at a time.
+ * While a reader stalls, the newest lines are dropped and counted; the count is
+ * reported once it reads again.
  */
 import { write } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Writes bytes to the end; the callback's argument is the failure, if any. */
-export type WriteOut = (
+/** Writes all bytes; the callback receives the failure, if any. */
+export type WriteBytes = (
   bytes: Buffer,
   done: (error: Error | null) => void,
 ) => void;
 
 export interface BoundedOutputOptions {
-  readonly writeOut: WriteOut;
-  /** Told once the reader reads again. */
+  readonly writeOut: WriteBytes;
+  /** Called once the reader reads again. */
   readonly onDropped: (lines: number) => void;
 }
 
-/** Lines of some seconds of a busy entry; memory that a stalled reader costs. */
-export const HELD_BYTES = 512 * 1024;
-/** Lines are gathered for this time, ms: one write for all of them. */
-const GATHER_MS = 50;
+/** Memory limit while a reader stalls; some seconds of a busy entry's lines. */
+export const MAX_BUFFERED_BYTES = 512 * 1024;
+/** Lines are buffered for this long and share one write. */
+const FLUSH_DELAY_MS = 50;
 
-/** Longest wait for the last lines when the process ends, ms. */
-const CLOSE_MS = 200;
-const CLOSE_LOOK_MS = 5;
+/** Longest wait for the last lines when the process ends. */
+const CLOSE_TIMEOUT_MS = 200;
+const CLOSE_POLL_INTERVAL_MS = 5;
 
 const STANDARD_OUTPUT = 1;
 
 export class BoundedOutput {
-  private waiting: string[] = [];
-  private waitingBytes = 0;
-  private dropped = 0;
+  private bufferedLines: string[] = [];
+  private bufferedBytes = 0;
+  private droppedLines = 0;
   private isWriting = false;
-  private timer: NodeJS.Timeout | undefined;
+  private flushTimer: NodeJS.Timeout | undefined;
 
   private constructor(private readonly options: BoundedOutputOptions) {}
 
@@ -44,60 +44,60 @@
     return new BoundedOutput(options);
   }
 
-  /** Takes one line with its end. */
+  /** Buffers one line, including its line break. */
   write(line: string): void {
-    if (this.waitingBytes + line.length > HELD_BYTES) {
-      this.dropped += 1;
+    if (this.bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+      this.droppedLines += 1;
       return;
     }
-    this.waiting.push(line);
-    this.waitingBytes += line.length;
-    this.timer ??= setTimeout(() => {
-      this.timer = undefined;
+    this.bufferedLines.push(line);
+    this.bufferedBytes += line.length;
+    this.flushTimer ??= setTimeout(() => {
+      this.flushTimer = undefined;
       this.flush();
-    }, GATHER_MS);
+    }, FLUSH_DELAY_MS);
   }
 
-  /** Writes what is held, unless a write is under way. */
+  /** Writes the buffered lines, unless a write is in progress. */
   flush(): void {
-    if (this.isWriting || this.waiting.length === 0) return;
-    const bytes = Buffer.from(this.waiting.join(""));
-    this.waiting = [];
-    this.waitingBytes = 0;
+    if (this.isWriting || this.bufferedLines.length === 0) return;
+    const bytes = Buffer.from(this.bufferedLines.join(""));
+    this.bufferedLines = [];
+    this.bufferedBytes = 0;
     this.isWriting = true;
     this.options.writeOut(bytes, () => {
-      // A reader that is gone can't be told; the lines go as dropped ones do.
+      // The reader is gone, so a failure can't be reported: the lines are lost.
       this.isWriting = false;
-      this.tellDropped();
+      this.reportDropped();
       this.flush();
     });
   }
 
-  /** Waits until all is written, or for as long as a stalled reader gets. */
+  /** Waits until all lines are written, at most `CLOSE_TIMEOUT_MS`. */
   async close(): Promise<void> {
-    const deadlineMs = performance.now() + CLOSE_MS;
-    clearTimeout(this.timer);
+    const deadlineMs = performance.now() + CLOSE_TIMEOUT_MS;
+    clearTimeout(this.flushTimer);
     this.flush();
     while (this.isWriting && performance.now() < deadlineMs) {
-      await sleep(CLOSE_LOOK_MS);
+      await sleep(CLOSE_POLL_INTERVAL_MS);
     }
   }
 
-  private tellDropped(): void {
-    const { dropped } = this;
-    if (dropped === 0) return;
-    this.dropped = 0;
-    this.options.onDropped(dropped);
+  private reportDropped(): void {
+    const { droppedLines } = this;
+    if (droppedLines === 0) return;
+    this.droppedLines = 0;
+    this.options.onDropped(droppedLines);
   }
 }
 
 /** Writes to standard output from the thread pool. */
-export const writeStandardOutput: WriteOut = (bytes, done) => {
+export const writeStandardOutput: WriteBytes = (bytes, done) => {
   write(STANDARD_OUTPUT, bytes, (error, written) => {
     if (error?.code === "EAGAIN") {
       setTimeout(() => {
         writeStandardOutput(bytes, done);
-      }, GATHER_MS);
+      }, FLUSH_DELAY_MS);
       return;
     }
     if (error !== null || written >= bytes.length) {
--- a/src/daemon/configuration/events.ts
+++ b/src/daemon/configuration/configuration-events.ts
@@ -1,4 +1,4 @@
-/** Tells operators what became of the records of the configuration stream. */
+/** Emits events for the records applied from the configuration stream. */
 import {
   verdictFailure,
   type Applied,
@@ -7,32 +7,32 @@
   type Verdict,
 } from "../../internal.js";
 
-export type Source = "log" | "peer";
+export type ConfigurationSource = "log" | "peer";
 
-export function reportApplied(
+export function emitConfigurationEvents(
   before: ConfigurationState,
   { state, verdicts }: Applied,
-  source: Source,
+  source: ConfigurationSource,
   emit: Emit,
 ): void {
-  for (const verdict of verdicts) reportVerdict(verdict, emit);
+  for (const verdict of verdicts) emitVerdict(verdict, emit);
   const { inForce } = state;
   if (inForce === null || inForce.version === before.inForce?.version) return;
   emit(111, { version: inForce.version, hash: inForce.hash, source });
 }
 
-function reportVerdict(verdict: Verdict, emit: Emit): void {
+function emitVerdict(verdict: Verdict, emit: Emit): void {
   const { offset } = verdict;
   if (verdict.kind === "not-understood") {
     emit(113, { offset, formatVersion: verdict.formatVersion });
     return;
   }
   if (verdict.kind === "checkpoint-disagrees") {
-    const detail = `checkpoint at ${offset} as of ${verdict.asOf}`;
+    const detail = `checkpoint at offset ${offset}, as of offset ${verdict.asOf}`;
     emit(104, { rule: "checkpoint-agrees", detail });
     return;
   }
-  const problem = verdictFailure(verdict);
-  if (problem === undefined) return;
-  emit(112, { offset, error: problem.number, reason: problem.message });
+  const failure = verdictFailure(verdict);
+  if (failure === undefined) return;
+  emit(112, { offset, error: failure.number, reason: failure.message });
 }
--- a/src/daemon/configuration/feed-client.ts
+++ b/src/daemon/configuration/feed-client.ts
@@ -1,4 +1,4 @@
-/** Follows the configuration stream at another process. */
+/** Follows the configuration stream of another process. */
 import { toFailure } from "../../internal.js";
 import {
   ConfigurationFeedClient,
@@ -7,10 +7,10 @@
 import type { ProcessContext } from "../process-context.js";
 import type { TransportSettings } from "../settings.js";
 import { channelOptions, clientCredentials } from "../transport.js";
-import { FEED_HEARTBEAT_MS } from "./feed-server.js";
+import { FEED_HEARTBEAT_INTERVAL_MS } from "./feed-server.js";
 
-/** Three heartbeats and a half: then another peer or the log is asked. */
-const SILENCE_MS = 3.5 * FEED_HEARTBEAT_MS;
+/** After this silence, 3.5 heartbeats, the follower tries other sources. */
+const FEED_IDLE_TIMEOUT_MS = 3.5 * FEED_HEARTBEAT_INTERVAL_MS;
 
 export interface FeedOptions {
   readonly context: ProcessContext;
@@ -18,11 +18,14 @@
   readonly address: string;
   readonly fromOffset: number;
   readonly signal: AbortSignal;
-  /** Returns whether to go on. */
+  /** Returns false to stop following. */
   readonly onBatch: (batch: FeedBatch) => boolean;
 }
 
-/** Ends when the peer falls silent or `onBatch` has enough; else throws 2001. */
+/**
+ * Follows until `onBatch` returns false, the peer is silent for too long or the
+ * signal aborts. Throws 2001 if the stream fails.
+ */
 export async function followPeer(options: FeedOptions): Promise<void> {
   const { context, transport, address, fromOffset, signal } = options;
   const credentials = clientCredentials(transport, address);
@@ -32,23 +35,23 @@
     channelOptions,
   );
   const stream = client.follow({ clock: context.clock.read(), fromOffset });
-  const stop = (): void => {
+  const cancelStream = (): void => {
     stream.cancel();
   };
-  let silence = setTimeout(stop, SILENCE_MS);
-  signal.addEventListener("abort", stop, { once: true });
+  let idleTimer = setTimeout(cancelStream, FEED_IDLE_TIMEOUT_MS);
+  signal.addEventListener("abort", cancelStream, { once: true });
   try {
     for await (const batch of stream as AsyncIterable<FeedBatch>) {
-      clearTimeout(silence);
+      clearTimeout(idleTimer);
       context.clock.observe(batch.clock);
       if (!options.onBatch(batch)) return;
-      silence = setTimeout(stop, SILENCE_MS);
+      idleTimer = setTimeout(cancelStream, FEED_IDLE_TIMEOUT_MS);
     }
   } catch (error) {
     throw toFailure(error, 2001);
   } finally {
-    clearTimeout(silence);
-    signal.removeEventListener("abort", stop);
+    clearTimeout(idleTimer);
+    signal.removeEventListener("abort", cancelStream);
     stream.cancel();
     client.close();
   }
--- a/src/daemon/configuration/feed-server.ts
+++ b/src/daemon/configuration/feed-server.ts
@@ -1,4 +1,4 @@
-/** Hands the configuration stream on to other processes. */
+/** Relays the configuration stream to other processes. */
 import { status, type ServerWritableStream } from "@grpc/grpc-js";
 import {
   encodeEnvelope,
@@ -12,17 +12,17 @@
 } from "../../wire/generated/configuration.js";
 import type { ProcessContext } from "../process-context.js";
 
-/** A feed that is quiet for longer has lost its connection. */
-export const FEED_HEARTBEAT_MS = 1000;
+/** An idle feed sends a batch this often, so that lost connections show. */
+export const FEED_HEARTBEAT_INTERVAL_MS = 1000;
 
 type FeedStream = ServerWritableStream<FollowRequest, FeedBatch>;
 
 export interface FeedSource {
-  /** Nothing while this process can't vouch for its state. */
+  /** Undefined while this process can't confirm its state. */
   readonly snapshot: () => Checkpoint | undefined;
   readonly startOffset: () => number;
   readonly nextOffset: () => number;
-  /** False while this process is itself fed by another one. */
+  /** False while this process itself follows a relay. */
   readonly readsLog: () => boolean;
 }
 
@@ -40,36 +40,36 @@
 
   readonly service: ConfigurationFeedServer = {
     follow: (stream: FeedStream) => {
-      this.open(stream);
+      this.onFollow(stream);
     },
   };
 
-  /** Processes that follow this one. */
+  /** Number of processes that follow this one. */
   get followers(): number {
     return this.streams.size;
   }
 
-  /** Records that follow on what was handed on before. */
+  /** Sends records that directly follow those sent before. */
   publish(records: readonly LogRecord[]): void {
     if (records.length === 0) return;
-    const batch = this.batch(records, undefined);
+    const batch = this.createBatch(records, undefined);
     for (const stream of this.streams) stream.write(batch);
   }
 
-  /** The state moved on past records that were never read here. */
-  publishJump(): void {
-    const batch = this.batch([], this.source.snapshot());
+  /** Sends the state after it skipped records that this process never read. */
+  publishSnapshot(): void {
+    const batch = this.createBatch([], this.source.snapshot());
     for (const stream of this.streams) stream.write(batch);
   }
 
-  /** Called every `FEED_HEARTBEAT_MS`. */
-  beat(): void {
+  /** Must be called every `FEED_HEARTBEAT_INTERVAL_MS`. */
+  sendHeartbeat(): void {
     if (this.streams.size === 0) return;
-    const batch = this.batch([], undefined);
+    const batch = this.createBatch([], undefined);
     for (const stream of this.streams) stream.write(batch);
   }
 
-  private open(stream: FeedStream): void {
+  private onFollow(stream: FeedStream): void {
     const { clock, fromOffset } = stream.request;
     this.context.clock.observe(clock);
     const snapshot = this.source.snapshot();
@@ -78,17 +78,17 @@
       return;
     }
     const isBehind = fromOffset < this.source.nextOffset();
-    stream.write(this.batch([], isBehind ? snapshot : undefined));
+    stream.write(this.createBatch([], isBehind ? snapshot : undefined));
     this.streams.add(stream);
-    const drop = (): void => {
+    const removeStream = (): void => {
       this.streams.delete(stream);
     };
-    stream.on("cancelled", drop);
-    stream.on("close", drop);
-    stream.on("error", drop);
+    stream.on("cancelled", removeStream);
+    stream.on("close", removeStream);
+    stream.on("error", removeStream);
   }
 
-  private batch(
+  private createBatch(
     records: readonly LogRecord[],
     snapshot: Checkpoint | undefined,
   ): FeedBatch {
--- a/src/daemon/configuration/follower.ts
+++ b/src/daemon/configuration/follower.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the configuration in force. A few processes of a data centre read the
- * log; the others follow one of them and fall back to the log. During a log
- * outage a process takes the snapshots of its peers, so that it can start and a
- * version that some have read still spreads.
+ * Keeps this process's configuration up to date. A few processes of a data
+ * centre, its relays, read the log; the others follow a relay and fall back to
+ * the log. During a log outage a process adopts snapshots of its peers, so that
+ * it can start, and a version that only some processes have read still spreads.
  */
 import {
   adoptSnapshot,
@@ -31,21 +31,24 @@
 import { pause } from "../background-task.js";
 import type { ProcessContext } from "../process-context.js";
 import type { TransportSettings } from "../settings.js";
-import { reportApplied, type Source } from "./events.js";
+import {
+  emitConfigurationEvents,
+  type ConfigurationSource,
+} from "./configuration-events.js";
 import { followPeer } from "./feed-client.js";
-import { FEED_HEARTBEAT_MS, FeedServer } from "./feed-server.js";
+import { FEED_HEARTBEAT_INTERVAL_MS, FeedServer } from "./feed-server.js";
 
 const LONG_POLL_MS = 2000;
-const RETRY_PAUSE_MS = 300;
-const CHECKPOINT_CHECK_MS = 5000;
+const RETRY_INTERVAL_MS = 300;
+const CHECKPOINT_CHECK_INTERVAL_MS = 5000;
 
-/** A list that fails for long doesn't change who the relays are. */
-const LIST_MAXIMUM_AGE_MS = 5000;
+/** An older VM list is read again; if that fails, the relays stay the same. */
+const VM_LIST_MAX_AGE_MS = 5000;
 
 export interface FollowerOptions {
   readonly context: ProcessContext;
   readonly log: LogClient;
-  /** Address of the platform's list of VMs. */
+  /** URL of the platform's VM list. */
   readonly vmList: string;
   readonly transport: TransportSettings;
 }
@@ -53,24 +56,24 @@
 export class ConfigurationFollower {
   readonly feed: FeedServer;
   private state: ConfigurationState = initialConfigurationState;
-  private source: Source = "log";
-  private isFed = false;
-  private startOffset = 0;
-  private outageSinceMs: number | undefined;
+  private source: ConfigurationSource = "log";
+  private isFollowingRelay = false;
+  private logStartOffset = 0;
+  private logOutageStartedAtMs: number | undefined;
   private vms: readonly Vm[] = [];
-  private listedAtMs = Number.NEGATIVE_INFINITY;
-  /** Every process follows the list here, and tells once what is odd there. */
-  private readonly findings: RecordFindings;
+  private vmsReadAtMs = Number.NEGATIVE_INFINITY;
+  /** Every process reads the VM list here; each problem in it is reported once. */
+  private readonly vmListFindings: RecordFindings;
 
   private constructor(private readonly options: FollowerOptions) {
-    this.findings = RecordFindings.create(options.context);
+    this.vmListFindings = RecordFindings.create(options.context);
     this.feed = FeedServer.create(options.context, {
       snapshot: () => createCheckpoint(this.state),
-      startOffset: () => this.startOffset,
+      startOffset: () => this.logStartOffset,
       nextOffset: () => this.state.nextOffset,
-      readsLog: () => !this.isFed,
+      readsLog: () => !this.isFollowingRelay,
     });
-    this.showVersion();
+    this.updateVersionMetric();
   }
 
   static create(options: FollowerOptions): ConfigurationFollower {
@@ -101,30 +104,33 @@
   /** Follows a relay or the log until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.refreshList();
+      await this.refreshVms();
       const relays = this.relaysToFollow();
-      const wasFed = await this.followAny(relays, signal);
-      this.isFed = false;
-      if (!wasFed) await this.readLog(signal);
+      const didFollowRelay = await this.followFirstRelay(relays, signal);
+      this.isFollowingRelay = false;
+      if (!didFollowRelay) await this.readLog(signal);
     }
   }
 
-  /** Heartbeats to the followers. */
+  /** Sends heartbeats to the followers until the signal aborts. */
   async beat(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.feed.beat();
-      await pause(FEED_HEARTBEAT_MS, signal);
+      this.feed.sendHeartbeat();
+      await pause(FEED_HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
-  /** Appends the state in good time before the log drops what it rests on. */
-  async keepCheckpoints(signal: AbortSignal): Promise<void> {
-    const turn = Math.random();
+  /** Appends checkpoints before the log trims the records they summarize. */
+  async appendDueCheckpoints(signal: AbortSignal): Promise<void> {
+    const checkpointJitter = Math.random();
     while (!signal.aborted) {
-      if (!this.isFed && isCheckpointDue(this.state, Date.now(), turn)) {
+      if (
+        !this.isFollowingRelay &&
+        isCheckpointDue(this.state, Date.now(), checkpointJitter)
+      ) {
         await this.appendCheckpoint();
       }
-      await pause(CHECKPOINT_CHECK_MS, signal);
+      await pause(CHECKPOINT_CHECK_INTERVAL_MS, signal);
     }
   }
 
@@ -136,52 +142,55 @@
     this.options.context.emit(115, { asOf: checkpoint.asOf });
   }
 
-  /** Takes a list as the platform's, until it is read again. */
+  /** Replaces the VM list until it is next read from the platform. */
   useList(vms: readonly Vm[]): void {
     this.vms = vms;
-    this.listedAtMs = Date.now();
+    this.vmsReadAtMs = Date.now();
   }
 
-  private async refreshList(): Promise<void> {
-    if (Date.now() - this.listedAtMs < LIST_MAXIMUM_AGE_MS) return;
-    this.listedAtMs = Date.now();
+  private async refreshVms(): Promise<void> {
+    if (Date.now() - this.vmsReadAtMs < VM_LIST_MAX_AGE_MS) return;
+    this.vmsReadAtMs = Date.now();
     try {
-      this.useList(await readVmList(this.options.vmList, this.findings));
+      this.useList(await readVmList(this.options.vmList, this.vmListFindings));
     } catch {
-      // The former list serves on; the log itself is always the fallback.
+      // The previous list stays in use, and the log is always the fallback.
     }
   }
 
-  /** None for a relay, which reads the log itself. */
+  /** In random rotation; empty for a relay, which reads the log itself. */
   private relaysToFollow(): readonly Vm[] {
     const { name, dataCentre } = this.options.context;
     const relays = chooseRelays(this.vms, dataCentre);
     if (relays.some((relay) => relay.name === name)) return [];
-    const first = randomBelow(Math.random, Math.max(relays.length, 1));
-    const ordered = [...relays.slice(first), ...relays.slice(0, first)];
+    const startIndex = randomBelow(Math.random, Math.max(relays.length, 1));
+    const ordered = [
+      ...relays.slice(startIndex),
+      ...relays.slice(0, startIndex),
+    ];
     const names = ordered.map((relay) => relay.name);
     return this.vms
       .filter((vm) => names.includes(vm.name))
       .sort((a, b) => names.indexOf(a.name) - names.indexOf(b.name));
   }
 
-  /** Whether one of the relays fed this process for a while. */
-  private async followAny(
+  /** Tries relays in turn; returns whether one that reads the log was followed. */
+  private async followFirstRelay(
     relays: readonly Vm[],
     signal: AbortSignal,
   ): Promise<boolean> {
     for (const { address } of relays) {
-      await this.follow(address, signal, (batch) => {
-        this.takeBatch(batch);
-        this.isFed = batch.readsLog;
+      await this.followPeerAt(address, signal, (batch) => {
+        this.applyBatch(batch);
+        this.isFollowingRelay = batch.readsLog;
         return batch.readsLog;
       });
-      if (this.isFed) return true;
+      if (this.isFollowingRelay) return true;
     }
     return false;
   }
 
-  private async follow(
+  private async followPeerAt(
     address: string,
     signal: AbortSignal,
     onBatch: (batch: FeedBatch) => boolean,
@@ -198,24 +207,24 @@
         onBatch,
       });
     } catch {
-      // The next relay, or the log, is tried.
+      // Callers try the next relay or read the log.
     }
   }
 
-  private takeBatch(batch: FeedBatch): void {
+  private applyBatch(batch: FeedBatch): void {
     this.source = "peer";
-    if (batch.snapshot.length > 0) this.takeSnapshot(batch);
-    this.startOffset = Math.max(this.startOffset, batch.startOffset);
-    this.take(applyRecords(this.state, batch.records), batch.records);
+    if (batch.snapshot.length > 0) this.applySnapshot(batch);
+    this.logStartOffset = Math.max(this.logStartOffset, batch.startOffset);
+    this.commit(applyRecords(this.state, batch.records), batch.records);
   }
 
-  private takeSnapshot({ snapshot, startOffset }: FeedBatch): void {
+  private applySnapshot({ snapshot, startOffset }: FeedBatch): void {
     const envelope = parseEnvelope(snapshot).extract();
     if (typeof envelope === "string" || envelope.kind !== "checkpoint") return;
     const before = this.state;
     const applied = adoptSnapshot(before, envelope, startOffset);
-    this.take(applied, []);
-    if (applied.state !== before) this.feed.publishJump();
+    this.commit(applied, []);
+    if (applied.state !== before) this.feed.publishSnapshot();
   }
 
   private async readLog(signal: AbortSignal): Promise<void> {
@@ -223,33 +232,33 @@
     try {
       const page = await this.options.log.read(CONFIGURATION_STREAM, {
         from,
-        waitMs: this.outageSinceMs === undefined ? LONG_POLL_MS : 0,
+        waitMs: this.logOutageStartedAtMs === undefined ? LONG_POLL_MS : 0,
         signal,
       });
       this.onLogAnswered();
-      this.takePage(page);
+      this.applyPage(page);
     } catch (error) {
       if (signal.aborted) return;
-      const problem = toFailure(error, 1901);
-      if (problem.number === 1902) {
+      const failure = toFailure(error, 1901);
+      if (failure.number === 1902) {
         this.onLogAnswered();
-        this.skip(Number(problem.detail.startOffset));
+        this.skipTrimmedRecords(Number(failure.detail.startOffset));
         return;
       }
-      this.onLogFailed(problem.message);
-      await this.askPeers(signal);
-      await pause(RETRY_PAUSE_MS, signal);
+      this.onLogFailed(failure.message);
+      await this.fetchPeerSnapshot(signal);
+      await pause(RETRY_INTERVAL_MS, signal);
     }
   }
 
-  private takePage({ startOffset, records }: LogPage): void {
+  private applyPage({ startOffset, records }: LogPage): void {
     this.source = "log";
-    this.skip(startOffset);
-    this.take(applyRecords(this.state, records), records);
+    this.skipTrimmedRecords(startOffset);
+    this.commit(applyRecords(this.state, records), records);
   }
 
-  private skip(startOffset: number): void {
-    this.startOffset = Math.max(this.startOffset, startOffset);
+  private skipTrimmedRecords(startOffset: number): void {
+    this.logStartOffset = Math.max(this.logStartOffset, startOffset);
     const before = this.state;
     this.state = skipTrimmed(before, startOffset);
     if (this.state === before) return;
@@ -257,42 +266,47 @@
     this.options.context.emit(114, { heldFrom: startOffset, version });
   }
 
-  private take(applied: Applied, records: readonly LogRecord[]): void {
+  private commit(applied: Applied, records: readonly LogRecord[]): void {
     const before = this.state;
     this.state = applied.state;
-    this.showVersion();
-    reportApplied(before, applied, this.source, this.options.context.emit);
+    this.updateVersionMetric();
+    emitConfigurationEvents(
+      before,
+      applied,
+      this.source,
+      this.options.context.emit,
+    );
     this.feed.publish(records);
   }
 
-  private showVersion(): void {
+  private updateVersionMetric(): void {
     const version = this.state.inForce?.version ?? -1;
     this.options.context.measurements.set("configurationVersion", version);
   }
 
-  /** The first snapshot that a peer has to give. */
-  private async askPeers(signal: AbortSignal): Promise<void> {
+  /** Applies the first batch, with any snapshot, of a randomly chosen peer. */
+  private async fetchPeerSnapshot(signal: AbortSignal): Promise<void> {
     const { name } = this.options.context;
     const peers = this.vms.filter((vm) => vm.name !== name && vm.address);
     if (peers.length === 0) return;
     const { address } = peers[randomBelow(Math.random, peers.length)];
-    await this.follow(address, signal, (batch) => {
-      this.takeBatch(batch);
+    await this.followPeerAt(address, signal, (batch) => {
+      this.applyBatch(batch);
       return false;
     });
   }
 
   private onLogFailed(reason: string): void {
-    if (this.outageSinceMs !== undefined) return;
-    this.outageSinceMs = Date.now();
+    if (this.logOutageStartedAtMs !== undefined) return;
+    this.logOutageStartedAtMs = Date.now();
     const stream = CONFIGURATION_STREAM;
     this.options.context.emit(191, { stream, reason });
   }
 
   private onLogAnswered(): void {
-    if (this.outageSinceMs === undefined) return;
-    const outageMs = Date.now() - this.outageSinceMs;
-    this.outageSinceMs = undefined;
+    if (this.logOutageStartedAtMs === undefined) return;
+    const outageMs = Date.now() - this.logOutageStartedAtMs;
+    this.logOutageStartedAtMs = undefined;
     const stream = CONFIGURATION_STREAM;
     this.options.context.emit(192, { stream, outageMs });
   }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemons of both roles share: the configuration in force, the
- * operators' address, the server towards other daemons, and background tasks.
+ * Parts that daemons of both roles share: the current configuration, the HTTP
+ * server for operators, the server for other daemons, and background tasks.
  */
 import { Server } from "@grpc/grpc-js";
 import { LogClient } from "../platform/log-client.js";
@@ -24,11 +24,11 @@
 export interface Daemon extends AsyncDisposable {
   readonly context: ProcessContext;
   readonly addresses: DaemonAddresses;
-  /** Resolves when the daemon has left and ended its work. */
+  /** Shuts down gracefully; resolves once the running work has ended. */
   readonly leave: () => Promise<void>;
 }
 
-/** Runs until the signal aborts; started again when it ends before. */
+/** Runs until the signal aborts; restarted if it ends earlier. */
 export interface DaemonTask {
   readonly name: string;
   readonly run: (signal: AbortSignal) => Promise<void>;
@@ -38,9 +38,9 @@
   readonly settings: Settings;
   readonly context: ProcessContext;
   readonly isReady: () => boolean;
-  /** The role's own part of the status. */
+  /** The role-specific part of the status. */
   readonly status: () => Readonly<Record<string, unknown>>;
-  /** An operator wants the process to leave. */
+  /** Called when an operator requests a graceful shutdown. */
   readonly onLeave: () => void;
 }
 
@@ -49,9 +49,9 @@
   readonly configuration: ConfigurationFollower;
   readonly server = new Server(channelOptions);
   leaving = false;
-  private readonly stop = new AbortController();
-  private peers = "";
-  private operators: Listening | undefined;
+  private readonly stopController = new AbortController();
+  private peerAddress = "";
+  private operatorsServer: Listening | undefined;
 
   private constructor(private readonly options: DaemonCoreOptions) {
     const { settings, context } = options;
@@ -71,18 +71,21 @@
 
   /** Aborts when the daemon ends. */
   get signal(): AbortSignal {
-    return this.stop.signal;
+    return this.stopController.signal;
   }
 
   get addresses(): DaemonAddresses {
-    return { operators: this.operators?.address ?? "", peers: this.peers };
+    return {
+      operators: this.operatorsServer?.address ?? "",
+      peers: this.peerAddress,
+    };
   }
 
-  /** Once the role has added its services to the server. */
+  /** Must be called after the role has added its services to the server. */
   async start(tasks: readonly DaemonTask[]): Promise<void> {
     const { settings, context, isReady, onLeave: leave } = this.options;
     const { configuration, server } = this;
-    this.operators = await startOperatorsServer(settings.operators, {
+    this.operatorsServer = await startOperatorsServer(settings.operators, {
       events: context.events,
       metrics: context.metrics,
       isReady: () => !this.leaving && isReady(),
@@ -91,17 +94,17 @@
     });
     this.runTasks([...this.configurationTasks(), ...tasks]);
     server.addService(ConfigurationFeedService, configuration.feed.service);
-    this.peers = await bindServer(server, settings);
+    this.peerAddress = await bindServer(server, settings);
   }
 
-  /** To be called when the daemon accepts work. */
+  /** Emits `process-started`; must be called once the daemon accepts work. */
   announce(): void {
     const { context, settings } = this.options;
     const { incarnation } = context;
     context.emit(101, { role: settings.role, incarnation, release: RELEASE });
   }
 
-  /** False when it was leaving already. */
+  /** Returns false if the daemon is already leaving. */
   beginLeaving(): boolean {
     if (this.leaving) return false;
     this.leaving = true;
@@ -110,15 +113,15 @@
     return true;
   }
 
-  /** Ends all tasks; the role ends its own parts between this and disposal. */
+  /** Stops all tasks. The role closes its own parts between this and disposal. */
   endTasks(): void {
-    this.stop.abort();
+    this.stopController.abort();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.endTasks();
     this.server.forceShutdown();
-    await this.operators?.[Symbol.asyncDispose]();
+    await this.operatorsServer?.[Symbol.asyncDispose]();
     await this.options.context.events.close();
   }
 
@@ -132,7 +135,7 @@
       },
       {
         name: "checkpoints",
-        run: (signal) => configuration.keepCheckpoints(signal),
+        run: (signal) => configuration.appendDueCheckpoints(signal),
       },
     ];
   }
--- a/src/daemon/event-log.ts
+++ b/src/daemon/event-log.ts
@@ -1,6 +1,6 @@
 /**
- * Numbered events of one process: JSON lines by bunyan, and the last few
- * thousand in memory for the time line.
+ * Logs the numbered events of one process as JSON lines through bunyan, and
+ * keeps the last few thousand in memory for the timeline.
  */
 import bunyan from "bunyan";
 import {
@@ -16,12 +16,12 @@
 import {
   BoundedOutput,
   writeStandardOutput,
-  type WriteOut,
+  type WriteBytes,
 } from "./bounded-output.js";
-import { LineBudget } from "./line-budget.js";
+import { LogRateLimiter } from "./log-rate-limiter.js";
 
-/** About 2 MB; some minutes of a busy entry. */
-const KEPT_EVENTS = 4096;
+/** About 2 MB, or some minutes of a busy entry. */
+const MAX_RECENT_EVENTS = 4096;
 
 export interface TimelineEvent {
   readonly process: string;
@@ -33,17 +33,17 @@
 }
 
 export interface EventFilter {
-  /** Keeps events with this value in any of their fields. */
+  /** Selects events with this value in any of their fields. */
   readonly value?: string;
   /** Milliseconds since the Unix epoch. */
   readonly sinceMs?: number;
 }
 
 export class EventLog {
-  private readonly kept: TimelineEvent[] = [];
-  private next = 0;
+  private readonly recentEvents: TimelineEvent[] = [];
+  private nextIndex = 0;
 
-  private readonly budget = LineBudget.create(() => performance.now());
+  private readonly rateLimiter = LogRateLimiter.create(() => performance.now());
   private readonly output: BoundedOutput;
   private readonly logger: bunyan;
 
@@ -51,7 +51,7 @@
     private readonly process: string,
     private readonly clock: HybridClock,
     level: bunyan.LogLevel,
-    writeOut: WriteOut,
+    writeOut: WriteBytes,
   ) {
     this.output = BoundedOutput.create({
       writeOut,
@@ -74,12 +74,12 @@
     process: string,
     clock: HybridClock,
     level: bunyan.LogLevel,
-    writeOut: WriteOut = writeStandardOutput,
+    writeOut: WriteBytes = writeStandardOutput,
   ): EventLog {
     return new EventLog(process, clock, level, writeOut);
   }
 
-  /** Writes what is held, before the process ends; a stalled reader is left. */
+  /** Flushes the output before the process ends; gives up on a stalled reader. */
   async close(): Promise<void> {
     await this.output.close();
   }
@@ -88,14 +88,22 @@
     const entry: EventEntry = eventTable[number];
     const clock = this.clock.read();
     const { name, level } = entry;
-    this.keep({ process: this.process, clock, number, name, level, fields });
-    for (const [event, lines] of this.budget.turn()) {
-      this.line(106, clock, { event, lines, reason: "budget" });
+    this.storeRecent({
+      process: this.process,
+      clock,
+      number,
+      name,
+      level,
+      fields,
+    });
+    for (const [event, lines] of this.rateLimiter.startPeriodIfDue()) {
+      this.writeLine(106, clock, { event, lines, reason: "budget" });
     }
-    if (this.budget.take(number, level)) this.line(number, clock, fields);
+    if (this.rateLimiter.tryAcquire(number, level))
+      this.writeLine(number, clock, fields);
   };
 
-  private line(
+  private writeLine(
     number: EventNumber,
     clock: ClockReading,
     fields: EventFields,
@@ -104,10 +112,10 @@
     this.logger[level]({ event: number, clock, ...fields }, name);
   }
 
-  /** Kept events in the order of their clock readings. */
+  /** Recent events that match the filter, ordered by clock reading. */
   select(filter: EventFilter): TimelineEvent[] {
     const { value, sinceMs = 0 } = filter;
-    return this.kept
+    return this.recentEvents
       .filter(({ clock }) => clock.physicalMs >= sinceMs)
       .filter(
         ({ fields }) =>
@@ -116,8 +124,8 @@
       .sort((a, b) => compareReadings(a.clock, b.clock));
   }
 
-  private keep(event: TimelineEvent): void {
-    this.kept[this.next] = event;
-    this.next = (this.next + 1) % KEPT_EVENTS;
+  private storeRecent(event: TimelineEvent): void {
+    this.recentEvents[this.nextIndex] = event;
+    this.nextIndex = (this.nextIndex + 1) % MAX_RECENT_EVENTS;
   }
 }
--- a/src/daemon/expert-map/engine-client.ts
+++ b/src/daemon/expert-map/engine-client.ts
@@ -1,4 +1,4 @@
-/** The engine's interface for maps, weights, steps and orders, over HTTP. */
+/** HTTP client for the engine's expert maps, weights, step reports and orders. */
 import { Agent as HttpPool } from "undici";
 import { z } from "zod";
 import {
@@ -14,13 +14,16 @@
 import { plainMap } from "./wire.js";
 
 const CALL_TIMEOUT_MS = 1_000;
-const ACCEPTED = 200;
-const REFUSED = 409;
+const HTTP_OK = 200;
+const HTTP_CONFLICT = 409;
 
-const ballot = z.object({ number: z.number(), author: z.string() });
-const member = z.object({ member: z.string(), ranks: z.array(z.number()) });
+const ballotSchema = z.object({ number: z.number(), author: z.string() });
+const memberSchema = z.object({
+  member: z.string(),
+  ranks: z.array(z.number()),
+});
 
-const map = z.object({
+const mapSchema = z.object({
   version: z.number(),
   shape: z.object({
     ranks: z.number(),
@@ -31,26 +34,28 @@
   slots: z.array(z.number()),
 });
 
-const proposal = z.object({
-  id: ballot,
-  group: ballot,
+const proposalSchema = z.object({
+  id: ballotSchema,
+  group: ballotSchema,
   version: z.number(),
   mapHash: z.string(),
   step: z.number(),
   participants: z.array(z.object({ member: z.string(), agent: z.string() })),
 });
 
-const state = z.object({
+const stateSchema = z.object({
   engine: z.string(),
-  group: ballot.nullable(),
-  members: z.array(member),
-  sealed: ballot,
+  group: ballotSchema.nullable(),
+  members: z.array(memberSchema),
+  sealed: ballotSchema,
   version: z.number(),
   mapHash: z.string(),
   since: z.number(),
-  origin: ballot.nullable(),
-  armed: z.object({ proposal, committed: z.boolean() }).nullable(),
-  floor: ballot,
+  origin: ballotSchema.nullable(),
+  armed: z
+    .object({ proposal: proposalSchema, committed: z.boolean() })
+    .nullable(),
+  floor: ballotSchema,
   step: z.number(),
   stepMs: z.number(),
   heldMs: z.number(),
@@ -60,9 +65,9 @@
 });
 
 const answerSchema = z.object({
-  state,
-  map: map.nullable(),
-  armedMap: map.nullable(),
+  state: stateSchema,
+  map: mapSchema.nullable(),
+  armedMap: mapSchema.nullable(),
   staged: z
     .array(
       z.object({
@@ -78,7 +83,7 @@
 const stepsSchema = z.object({
   reports: z.array(
     z.object({
-      group: ballot,
+      group: ballotSchema,
       step: z.number(),
       rank: z.number(),
       version: z.number(),
@@ -89,7 +94,7 @@
   ),
 });
 
-const heldSchema = z.object({ heldBytes: z.number() });
+const weightsReplySchema = z.object({ heldBytes: z.number() });
 
 const orderStateSchema = z.object({
   engine: z.string(),
@@ -100,7 +105,7 @@
   fencing: z.number().exactOptional(),
 });
 
-interface Answer {
+interface EngineResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -115,20 +120,20 @@
     return new EngineClient(address.replace(/\/$/, ""), new HttpPool());
   }
 
-  /** Throws 1607; the order may have taken effect all the same. */
-  async call(order: EngineCall): Promise<EngineAnswer> {
+  /** Throws 1607; the call may have taken effect nevertheless. */
+  async call(call: EngineCall): Promise<EngineAnswer> {
     const { body } =
-      order.kind === "read"
-        ? await this.send("GET", `/expert-map?map=${String(order.withMap)}`)
+      call.kind === "read"
+        ? await this.send("GET", `/expert-map?map=${String(call.withMap)}`)
         : await this.send(
             "POST",
-            `/expert-map/${order.kind}`,
-            JSON.stringify(callBody(order)),
+            `/expert-map/${call.kind}`,
+            JSON.stringify(callBody(call)),
           );
     return parse(answerSchema, body);
   }
 
-  /** Hands over a part of weights; returns the bytes held of them now. */
+  /** Uploads part of an expert's weights; returns how many bytes the engine holds. */
   async putWeight(
     { rank, layer, expert }: WeightName,
     offset: number,
@@ -137,7 +142,7 @@
     const query = `rank=${rank}&layer=${layer}&expert=${expert}&offset=${offset}`;
     const path = `/expert-map/weights?${query}`;
     const { body } = await this.send("POST", path, data);
-    return parse(heldSchema, body).heldBytes;
+    return parse(weightsReplySchema, body).heldBytes;
   }
 
   async steps(from: number): Promise<readonly StepReport[]> {
@@ -146,8 +151,9 @@
   }
 
   /**
-   * The answer comes after the effect, so it may take as long as a load. Throws
-   * 1607; the order may have taken effect all the same.
+   * The engine answers once the order has taken effect, which can take as long
+   * as loading a model. Throws 1607; the order may have taken effect
+   * nevertheless.
    */
   async order(call: OrderCall, timeoutMs: number): Promise<OrderAnswer> {
     const { status, body } =
@@ -160,7 +166,7 @@
             timeoutMs,
           );
     return {
-      accepted: status === ACCEPTED,
+      accepted: status === HTTP_OK,
       state: parse(orderStateSchema, body),
     };
   }
@@ -174,7 +180,7 @@
     path: string,
     body?: string | Buffer,
     timeoutMs = CALL_TIMEOUT_MS,
-  ): Promise<Answer> {
+  ): Promise<EngineResponse> {
     const { origin } = this;
     const signal = AbortSignal.timeout(timeoutMs);
     try {
@@ -187,7 +193,7 @@
       });
       const status = response.statusCode;
       const answer: unknown = await response.body.json();
-      if (status === ACCEPTED || status === REFUSED) {
+      if (status === HTTP_OK || status === HTTP_CONFLICT) {
         return { status, body: answer };
       }
       return raise(1607, { path, status });
--- a/src/daemon/expert-map/expert-maps.ts
+++ b/src/daemon/expert-map/expert-maps.ts
@@ -1,6 +1,6 @@
 /**
- * The expert maps of one agent: waits for the published shape of its group, and
- * runs the switch for as long as that shape stands.
+ * Manages the expert maps of one agent: waits for the published shape of its
+ * group, and takes part in map switches until that shape changes.
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import {
@@ -29,7 +29,7 @@
 import { EngineClient } from "./engine-client.js";
 import { GroupMembership } from "./group-membership.js";
 import { MapMetrics } from "./map-metrics.js";
-import { MapRecord } from "./map-record.js";
+import { MapLog } from "./map-log.js";
 import { MapTask } from "./map-task.js";
 import { MapPeers } from "./peers.js";
 import { fromBody } from "./wire.js";
@@ -40,14 +40,14 @@
   readonly weightStore: string;
   /** Undefined until a configuration is in force. */
   readonly configuration: () => Configuration | undefined;
-  /** Told of the step reports of the own engine's ranks, each once. */
+  /** Receives each step report of the local engine's ranks once. */
   readonly onSteps: (reports: readonly StepReport[]) => void;
 }
 
-const WAIT_MS = 200;
+const SHAPE_POLL_INTERVAL_MS = 200;
 const MEMBERS_INTERVAL_MS = 1_000;
-/** One part takes milliseconds to hand over, and little is lost with it. */
-const PART_BYTES = 1024 * 1024;
+/** A part this small uploads in milliseconds, and a failed one costs little. */
+const WEIGHT_PART_BYTES = 1024 * 1024;
 const FIRST_VERSION = 1;
 
 export class ExpertMaps implements AsyncDisposable {
@@ -55,7 +55,7 @@
   private readonly engine: EngineClient;
   private readonly peers: MapPeers;
   private readonly metrics: MapMetrics;
-  private readonly record: MapRecord;
+  private readonly mapLog: MapLog;
   private task: MapTask | undefined;
 
   private constructor(private readonly options: ExpertMapsOptions) {
@@ -64,7 +64,7 @@
     this.peers = MapPeers.create(context, settings.transport);
     this.metrics = MapMetrics.create(context.measurements);
     const log = LogClient.create(settings.platform.log);
-    this.record = MapRecord.create(log, settings.group);
+    this.mapLog = MapLog.create(log, settings.group);
     this.service = {
       deliver: (call, reply) => {
         this.deliver(call, reply);
@@ -98,7 +98,7 @@
     return this.task?.mapInForce;
   }
 
-  /** First member of the group with its host:port, as far as known here. */
+  /** First member of the group; undefined while it or its host:port is unknown. */
   get leader():
     { readonly name: string; readonly address: string } | undefined {
     const name = this.task?.engineState?.members.at(0)?.member;
@@ -110,28 +110,28 @@
 
   /** Runs until the signal aborts or the published shape changes. */
   async run(signal: AbortSignal): Promise<void> {
-    const shape = await this.awaitShape(signal);
-    if (shape === undefined) return;
-    const ended = new AbortController();
-    const either = AbortSignal.any([signal, ended.signal]);
-    const task = await this.createTask(shape);
+    const group = await this.awaitPublishedGroup(signal);
+    if (group === undefined) return;
+    const runController = new AbortController();
+    const runSignal = AbortSignal.any([signal, runController.signal]);
+    const task = await this.createTask(group);
     this.task = task;
     try {
       await Promise.all([
-        task.run(either),
-        this.followMembers(task, shape, either),
-        this.record.keep(() => this.mapToRecord(task), either),
-        this.watchShape(shape, ended, either),
+        task.run(runSignal),
+        this.followMembers(task, group, runSignal),
+        this.mapLog.appendUntilAborted(() => this.mapToRecord(task), runSignal),
+        this.abortOnShapeChange(group, runController, runSignal),
       ]);
     } finally {
-      ended.abort();
+      runController.abort();
       this.task = undefined;
     }
   }
 
   /**
-   * Puts a map to the group and resolves with its outcome. Throws 1602, 1603,
-   * 1604 or 1606 when it wasn't put to the vote.
+   * Proposes a map to the group and resolves with the outcome. Throws 1602,
+   * 1603, 1604 or 1606 if the map wasn't put to the vote.
    */
   async proposeMap(
     map: ExpertMap,
@@ -169,22 +169,22 @@
     reply(null, { clock, member, group, ranks: [...ranks] });
   }
 
-  private async createTask(shape: ModelGroup): Promise<MapTask> {
+  private async createTask(group: ModelGroup): Promise<MapTask> {
     const { context, settings, weightStore, onSteps } = this.options;
-    const recorded = await this.record.read();
+    const recorded = await this.mapLog.read();
     const initial = {
       version: FIRST_VERSION,
-      map: createEvenMap(shapeOf(shape)),
+      map: createEvenMap(groupShape(group)),
     };
     return MapTask.create({
       member: settings.name,
       agent: `${settings.name}/${context.incarnation}`,
-      model: shape.model,
-      initial: fits(recorded, shape) ? recorded : initial,
+      model: group.model,
+      initial: hasShapeOf(recorded, group) ? recorded : initial,
       fetch: {
-        bytesPerExpert: shape.bytesPerExpert,
+        bytesPerExpert: group.bytesPerExpert,
         bytesPerSecond: settings.limits.weightBytesPerSecond,
-        partBytes: PART_BYTES,
+        partBytes: WEIGHT_PART_BYTES,
       },
       weightStore,
       emit: context.emit,
@@ -196,7 +196,7 @@
     });
   }
 
-  private publishedShape(): ModelGroup | undefined {
+  private publishedGroup(): ModelGroup | undefined {
     const { settings, configuration } = this.options;
     const group = configuration()?.groups.find(
       ({ name }) => name === settings.group,
@@ -204,34 +204,34 @@
     return group?.kind === "model" ? group : undefined;
   }
 
-  private async awaitShape(
+  private async awaitPublishedGroup(
     signal: AbortSignal,
   ): Promise<ModelGroup | undefined> {
     for (;;) {
-      const shape = this.publishedShape();
-      if (shape !== undefined || signal.aborted) return shape;
-      await pause(WAIT_MS, signal);
+      const group = this.publishedGroup();
+      if (group !== undefined || signal.aborted) return group;
+      await pause(SHAPE_POLL_INTERVAL_MS, signal);
     }
   }
 
-  private async watchShape(
-    shape: ModelGroup,
-    ended: AbortController,
+  private async abortOnShapeChange(
+    group: ModelGroup,
+    runController: AbortController,
     signal: AbortSignal,
   ): Promise<void> {
-    const known = JSON.stringify(shape);
+    const initialGroup = JSON.stringify(group);
     while (!signal.aborted) {
-      await pause(WAIT_MS, signal);
-      const present = this.publishedShape();
-      if (present !== undefined && JSON.stringify(present) !== known) {
-        ended.abort();
+      await pause(SHAPE_POLL_INTERVAL_MS, signal);
+      const current = this.publishedGroup();
+      if (current !== undefined && JSON.stringify(current) !== initialGroup) {
+        runController.abort();
       }
     }
   }
 
   private async followMembers(
     task: MapTask,
-    shape: ModelGroup,
+    group: ModelGroup,
     signal: AbortSignal,
   ): Promise<void> {
     const { settings } = this.options;
@@ -243,29 +243,29 @@
     });
     while (!signal.aborted) {
       try {
-        const present = task.engineState?.members ?? [];
-        const members = await membership.read(shape.ranks, present);
+        const current = task.engineState?.members ?? [];
+        const members = await membership.read(group.ranks, current);
         if (members !== undefined) task.setMembers(members);
       } catch {
-        // The list is out for now; the group stays as it is.
+        // The VM list is unavailable: the group keeps its members.
       }
       await pause(MEMBERS_INTERVAL_MS, signal);
     }
   }
 
-  /** The first member records for all. */
+  /** Only the first member of the group records the map. */
   private mapToRecord(task: MapTask): VersionedMap | undefined {
     const first = task.engineState?.members.at(0)?.member;
     return first === this.options.settings.name ? task.mapInForce : undefined;
   }
 }
 
-function shapeOf(group: ModelGroup): GroupShape {
+function groupShape(group: ModelGroup): GroupShape {
   const { ranks, layers, experts, slotsPerRank } = group;
   return { ranks, layers, experts, slotsPerRank };
 }
 
-function fits(
+function hasShapeOf(
   recorded: VersionedMap | undefined,
   { ranks, layers, experts, slotsPerRank }: ModelGroup,
 ): recorded is VersionedMap {
--- a/src/daemon/expert-map/group-membership.ts
+++ b/src/daemon/expert-map/group-membership.ts
@@ -1,6 +1,6 @@
 /**
- * Who the group consists of, from the platform's list of VMs and from what each
- * agent says of its ranks.
+ * Determines the members of a group from the platform's VM list and from the
+ * ranks that each agent reports.
  */
 import {
   chooseMembers,
@@ -18,8 +18,8 @@
 }
 
 export class GroupMembership {
-  /** Ranks by name and address; a VM in another's place has another address. */
-  private readonly ranks = new Map<string, readonly number[]>();
+  /** By name and address: a VM that replaces another has a new address. */
+  private readonly ranksByVm = new Map<string, readonly number[]>();
 
   private constructor(private readonly options: MembershipOptions) {}
 
@@ -28,12 +28,13 @@
   }
 
   /**
-   * The members that the group should have, or undefined while they can't all
-   * be told. Throws 1903 while the list is out; the group then stays as it is.
+   * The members that the group should have; undefined while a rank has no
+   * member. Throws 1903 while the VM list is unavailable; the group then stays
+   * as it is.
    */
   async read(
     rankCount: number,
-    present: readonly GroupMember[],
+    currentMembers: readonly GroupMember[],
   ): Promise<readonly GroupMember[] | undefined> {
     const { vmList, group, own, peers } = this.options;
     const vms = (await readVmList(vmList)).filter(
@@ -43,31 +44,31 @@
     peers.setAddresses(
       new Map(others.map(({ name, address }) => [name, address])),
     );
-    await Promise.all(others.map((vm) => this.ask(vm)));
-    const candidates = vms.flatMap((vm) => this.candidate(vm));
-    return chooseMembers(candidates, rankCount, present);
+    await Promise.all(others.map((vm) => this.fetchRanks(vm)));
+    const candidates = vms.flatMap((vm) => this.toCandidates(vm));
+    return chooseMembers(candidates, rankCount, currentMembers);
   }
 
-  private async ask(vm: Vm): Promise<void> {
-    const key = keyOf(vm);
-    if (this.ranks.has(key)) return;
+  private async fetchRanks(vm: Vm): Promise<void> {
+    const key = vmKey(vm);
+    if (this.ranksByVm.has(key)) return;
     try {
       const { ranks } = await this.options.peers.describe(vm.name);
-      this.ranks.set(key, ranks);
+      this.ranksByVm.set(key, ranks);
     } catch {
-      // Asked again on the next reading; until then it is no candidate.
+      // Retried on the next read; until then the VM isn't a candidate.
     }
   }
 
-  private candidate(vm: Vm): readonly Candidate[] {
+  private toCandidates(vm: Vm): readonly Candidate[] {
     const { own } = this.options;
     const isOwn = vm.name === own.member;
-    const ranks = isOwn ? own.ranks : this.ranks.get(keyOf(vm));
+    const ranks = isOwn ? own.ranks : this.ranksByVm.get(vmKey(vm));
     if (ranks === undefined) return [];
     return [{ member: vm.name, ranks, leaving: vm.state === "leaving" }];
   }
 }
 
-function keyOf({ name, address }: Vm): string {
+function vmKey({ name, address }: Vm): string {
   return `${name} ${address}`;
 }
--- a/src/daemon/expert-map/map-record.ts
+++ b/src/daemon/expert-map/map-log.ts
@@ -1,6 +1,6 @@
 /**
- * The map of a group on the platform's log. Only a group of which every engine
- * has forgotten its map needs it; a switch doesn't wait for it.
+ * Stores the map of a group in the platform's log. It is only needed when every
+ * engine of the group has lost its map, so a switch doesn't wait for it.
  */
 import { z } from "zod";
 import {
@@ -12,12 +12,12 @@
 import { pause } from "../background-task.js";
 import { plainMap } from "./wire.js";
 
-const CHECK_MS = 1_000;
-/** The log keeps records for a limited time; this is well within it. */
-const REPEAT_MS = 3_600_000;
-/** Start without the record when the log is out for longer. */
-const LONGEST_READ_MS = 5_000;
-const PAGE = 200;
+const CHECK_INTERVAL_MS = 1_000;
+/** Well below the time for which the log retains records. */
+const REAPPEND_INTERVAL_MS = 3_600_000;
+/** The agent starts without a recorded map if the log is unavailable longer. */
+const READ_TIMEOUT_MS = 5_000;
+const PAGE_RECORDS = 200;
 
 const recordSchema = z.object({
   version: z.number(),
@@ -33,10 +33,10 @@
   }),
 });
 
-export class MapRecord {
+export class MapLog {
   private readonly stream: string;
-  private recorded = 0;
-  private recordedAt = Number.NEGATIVE_INFINITY;
+  private recordedVersion = 0;
+  private recordedAtMs = Number.NEGATIVE_INFINITY;
 
   private constructor(
     private readonly log: LogClient,
@@ -45,47 +45,51 @@
     this.stream = `expert-maps-${group}`;
   }
 
-  static create(log: LogClient, group: string): MapRecord {
-    return new MapRecord(log, group);
+  static create(log: LogClient, group: string): MapLog {
+    return new MapLog(log, group);
   }
 
-  /** The highest version recorded, or undefined for none or an outage. */
+  /** The highest version recorded; undefined if none or the log is unavailable. */
   async read(): Promise<VersionedMap | undefined> {
-    const signal = AbortSignal.timeout(LONGEST_READ_MS);
-    let best: VersionedMap | undefined;
+    const signal = AbortSignal.timeout(READ_TIMEOUT_MS);
+    let newest: VersionedMap | undefined;
     let from = 0;
     while (!signal.aborted) {
       try {
         const page = await this.log.read(this.stream, {
           from,
-          limit: PAGE,
+          limit: PAGE_RECORDS,
           signal,
         });
-        for (const { data } of page.records) best = newer(best, data);
+        for (const { data } of page.records) newest = newerMap(newest, data);
         const last = page.records.at(-1);
         if (last === undefined || last.offset + 1 >= page.nextOffset) break;
         from = last.offset + 1;
       } catch (thrown) {
         from = trimmedStart(toFailure(thrown, 1901)) ?? from;
-        await pause(CHECK_MS / 10, signal);
+        await pause(CHECK_INTERVAL_MS / 10, signal);
       }
     }
-    this.recorded = best?.version ?? 0;
-    return best;
+    this.recordedVersion = newest?.version ?? 0;
+    return newest;
   }
 
-  /** Keeps the map that `current` gives on the log, until the signal aborts. */
-  async keep(
+  /** Appends newer versions at once and the current one again before it expires. */
+  async appendUntilAborted(
     current: () => VersionedMap | undefined,
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
       const map = current();
-      const due = Date.now() >= this.recordedAt + REPEAT_MS;
-      if (map !== undefined && (map.version > this.recorded || due)) {
+      const isReappendDue =
+        Date.now() >= this.recordedAtMs + REAPPEND_INTERVAL_MS;
+      if (
+        map !== undefined &&
+        (map.version > this.recordedVersion || isReappendDue)
+      ) {
         await this.append(map);
       }
-      await pause(CHECK_MS, signal);
+      await pause(CHECK_INTERVAL_MS, signal);
     }
   }
 
@@ -93,22 +97,22 @@
     const text = JSON.stringify({ version, map: plainMap(map) });
     try {
       await this.log.append(this.stream, [Buffer.from(text)]);
-      this.recorded = version;
-      this.recordedAt = Date.now();
+      this.recordedVersion = version;
+      this.recordedAtMs = Date.now();
     } catch {
-      // Whether it landed doesn't matter: the next round appends it again, and
-      // a record that is there twice says the same.
+      // Even if the append took effect, the next round repeats it; a duplicate
+      // record does no harm.
     }
   }
 }
 
-function newer(
-  best: VersionedMap | undefined,
+function newerMap(
+  newest: VersionedMap | undefined,
   data: Buffer,
 ): VersionedMap | undefined {
   const result = recordSchema.safeParse(parseJson(data));
-  if (!result.success) return best;
-  return result.data.version > (best?.version ?? 0) ? result.data : best;
+  if (!result.success) return newest;
+  return result.data.version > (newest?.version ?? 0) ? result.data : newest;
 }
 
 function parseJson(data: Buffer): unknown {
--- a/src/daemon/expert-map/map-metrics.ts
+++ b/src/daemon/expert-map/map-metrics.ts
@@ -1,4 +1,4 @@
-/** Figures of map changes: what switching and moving experts costs. */
+/** Metrics of map switches: their outcome, duration and transferred weights. */
 import {
   ApricotdeckError,
   type EngineMapState,
@@ -7,8 +7,8 @@
 } from "../../internal.js";
 
 export class MapMetrics {
-  private heldTotalMs = 0;
-  private bytes = 0;
+  private lastHeldTotalMs = 0;
+  private lastFetchedBytes = 0;
 
   private constructor(private readonly measurements: Measurements) {}
 
@@ -16,23 +16,27 @@
     return new MapMetrics(measurements);
   }
 
-  ended(end: ProposalEnd, durationMs: number): void {
+  observeProposalEnd(end: ProposalEnd, durationMs: number): void {
     const label = end instanceof ApricotdeckError ? end.entry.name : end;
     this.measurements.count("mapProposals", { end: label });
     this.measurements.observe("mapSwitchDuration", durationMs / 1000);
   }
 
-  checked(reports: number): void {
+  countStepReports(reports: number): void {
     this.measurements.count("stepReports", {}, reports);
   }
 
-  observe(state: EngineMapState, fetchedBytes: number): void {
+  observeEngineState(state: EngineMapState, fetchedBytes: number): void {
     this.measurements.set("mapVersion", state.version);
-    this.measurements.count("mapFetchedBytes", {}, fetchedBytes - this.bytes);
-    this.bytes = fetchedBytes;
-    // Falls back to nothing when the engine starts again.
-    const more = Math.max(0, state.heldTotalMs - this.heldTotalMs);
-    this.measurements.count("mapHeld", {}, more / 1000);
-    this.heldTotalMs = state.heldTotalMs;
+    this.measurements.count(
+      "mapFetchedBytes",
+      {},
+      fetchedBytes - this.lastFetchedBytes,
+    );
+    this.lastFetchedBytes = fetchedBytes;
+    // The engine's total restarts at zero when the engine restarts.
+    const heldDeltaMs = Math.max(0, state.heldTotalMs - this.lastHeldTotalMs);
+    this.measurements.count("mapHeld", {}, heldDeltaMs / 1000);
+    this.lastHeldTotalMs = state.heldTotalMs;
   }
 }
--- a/src/daemon/expert-map/map-task.ts
+++ b/src/daemon/expert-map/map-task.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the deciding part (`GroupAgent`) asks for: orders to the
- * engine, messages to the other agents, parts of weights from the store.
+ * Runs the effects that `GroupAgent` decides on: calls to the engine, messages
+ * to the other agents, and fetches of weights from the store.
  */
 import {
   allSwitchSafeguards,
@@ -29,7 +29,7 @@
 import type { EngineClient } from "./engine-client.js";
 import type { MapMetrics } from "./map-metrics.js";
 import type { MapPeers } from "./peers.js";
-import { readWeights, retryAfterOf } from "./weight-client.js";
+import { readWeights, retryAfterMsOf } from "./weight-client.js";
 
 export interface MapTaskOptions {
   readonly member: string;
@@ -44,33 +44,33 @@
   readonly engine: EngineClient;
   readonly peers: MapPeers;
   readonly metrics: MapMetrics;
-  /** Told of the reports of the own engine's ranks, each once. */
+  /** Receives each step report of the local engine's ranks once. */
   readonly onSteps: (reports: readonly StepReport[]) => void;
 }
 
-interface Pending {
-  readonly end: Deferred<ProposalEnd>;
-  readonly since: number;
+interface PendingProposal {
+  readonly outcome: Deferred<ProposalEnd>;
+  readonly startedAtMs: number;
 }
 
-/** A message waits at most so long for the next decision that needs time. */
-const TICK_MS = 20;
-const IDLE_READ_MS = 250;
-const STEPS_INTERVAL_MS = 250;
-/** Reports that come later than so many steps after others are missed. */
-const LATE_STEPS = 100;
+/** Interval of ticks, and so the longest delay of a time-based decision. */
+const TICK_INTERVAL_MS = 20;
+const IDLE_READ_INTERVAL_MS = 250;
+const STEP_POLL_INTERVAL_MS = 250;
+/** Reports more steps behind the newest one than this are missed. */
+const MAX_LATE_STEPS = 100;
 
 export class MapTask {
-  private readonly machine: GroupAgent;
-  private pending: Pending | undefined;
-  /** Steps of reports taken in, by step and rank. */
-  private readonly seen = new Map<string, number>();
-  private stepGroup = "";
+  private readonly groupAgent: GroupAgent;
+  private pendingProposal: PendingProposal | undefined;
+  /** Step numbers of the reports processed so far, by step and rank. */
+  private readonly seenSteps = new Map<string, number>();
+  private reportedGroup = "";
 
   private constructor(private readonly options: MapTaskOptions) {
-    this.machine = GroupAgent.create({
+    this.groupAgent = GroupAgent.create({
       ...options,
-      idleReadMs: IDLE_READ_MS,
+      idleReadMs: IDLE_READ_INTERVAL_MS,
       safeguards: { ...allSwitchSafeguards, mayGoForward: true },
     });
   }
@@ -80,51 +80,55 @@
   }
 
   get engineState(): EngineMapState | undefined {
-    return this.machine.engineState;
+    return this.groupAgent.engineState;
   }
 
   get mapInForce(): VersionedMap | undefined {
-    return this.machine.mapInForce;
+    return this.groupAgent.mapInForce;
   }
 
   /** Runs until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.keepTime(signal), this.followSteps(signal)]);
-    this.settle(failure(1604), "");
+    await Promise.all([this.runTicks(signal), this.followSteps(signal)]);
+    this.settleProposal(failure(1604), "");
   }
 
   setMembers(members: readonly GroupMember[]): void {
-    this.machine.setMembers(members);
+    this.groupAgent.setMembers(members);
   }
 
   deliver(from: string, message: MapMessage): void {
-    this.carryOut(this.machine.receive(from, message, Date.now()));
+    this.runEffects(this.groupAgent.receive(from, message, Date.now()));
   }
 
   /**
-   * Puts a map to the group; resolves once its outcome is known here. Throws
-   * 1602, 1603, 1604 or 1606 when it wasn't put to the vote.
+   * Proposes a map to the group; resolves once the outcome is known here. Throws
+   * 1602, 1603, 1604 or 1606 if the map wasn't put to the vote.
    */
   async proposeMap(
     map: ExpertMap,
     timeoutMs: number,
   ): Promise<ProposalOutcome> {
-    const since = Date.now();
-    const started = this.machine.proposeMap(map, since + timeoutMs, since);
-    started.ifLeft((error) => {
+    const startedAtMs = Date.now();
+    const result = this.groupAgent.proposeMap(
+      map,
+      startedAtMs + timeoutMs,
+      startedAtMs,
+    );
+    result.ifLeft((error) => {
       throw error;
     });
-    const end = createDeferred<ProposalEnd>();
-    this.pending = { end, since };
-    const outcome = await end.promise;
+    const deferred = createDeferred<ProposalEnd>();
+    this.pendingProposal = { outcome: deferred, startedAtMs };
+    const outcome = await deferred.promise;
     if (outcome instanceof ApricotdeckError) throw outcome;
     return outcome;
   }
 
-  private async keepTime(signal: AbortSignal): Promise<void> {
+  private async runTicks(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.carryOut(this.machine.tick(Date.now()));
-      await pause(TICK_MS, signal);
+      this.runEffects(this.groupAgent.tick(Date.now()));
+      await pause(TICK_INTERVAL_MS, signal);
     }
   }
 
@@ -133,43 +137,46 @@
       try {
         await this.readSteps();
       } catch {
-        // The engine doesn't answer; reading its state shows the same, and the
-        // next round reads on from the same step.
+        // Reads of the engine's state report that it doesn't answer; the next
+        // round continues from the same step.
       }
-      await pause(STEPS_INTERVAL_MS, signal);
+      await pause(STEP_POLL_INTERVAL_MS, signal);
     }
   }
 
   private async readSteps(): Promise<void> {
     const group = JSON.stringify(this.engineState?.group);
-    if (group !== this.stepGroup) this.seen.clear();
-    this.stepGroup = group;
-    const from = Math.max(0, Math.max(0, ...this.seen.values()) - LATE_STEPS);
-    for (const [key, step] of this.seen) {
-      if (step < from) this.seen.delete(key);
+    if (group !== this.reportedGroup) this.seenSteps.clear();
+    this.reportedGroup = group;
+    const from = Math.max(
+      0,
+      Math.max(0, ...this.seenSteps.values()) - MAX_LATE_STEPS,
+    );
+    for (const [key, step] of this.seenSteps) {
+      if (step < from) this.seenSteps.delete(key);
     }
-    const all = await this.options.engine.steps(from);
-    const reports = all.filter((report) => this.isNew(report));
+    const fetchedReports = await this.options.engine.steps(from);
+    const reports = fetchedReports.filter((report) => this.markSeen(report));
     if (reports.length === 0) return;
-    this.machine.checkSteps(reports);
-    this.options.metrics.checked(reports.length);
+    this.groupAgent.checkSteps(reports);
+    this.options.metrics.countStepReports(reports.length);
     this.options.onSteps(reports);
   }
 
-  private isNew({ step, rank }: StepReport): boolean {
+  private markSeen({ step, rank }: StepReport): boolean {
     const key = `${step}/${rank}`;
-    if (this.seen.has(key)) return false;
-    this.seen.set(key, step);
+    if (this.seenSteps.has(key)) return false;
+    this.seenSteps.set(key, step);
     return true;
   }
 
-  private carryOut(effects: readonly MapEffect[]): void {
+  private runEffects(effects: readonly MapEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === "send") {
         this.options.peers.send(effect.to, effect.message);
       } else if (effect.kind === "engine") void this.callEngine(effect.call);
       else if (effect.kind === "fetch") void this.fetchPart(effect.part);
-      else this.settle(effect.end, effect.mapHash);
+      else this.settleProposal(effect.end, effect.mapHash);
     }
   }
 
@@ -177,10 +184,10 @@
     const { engine, metrics } = this.options;
     try {
       const answer = await engine.call(call);
-      this.carryOut(this.machine.engineAnswered(answer, Date.now()));
-      metrics.observe(answer.state, this.machine.fetchedBytes);
+      this.runEffects(this.groupAgent.engineAnswered(answer, Date.now()));
+      metrics.observeEngineState(answer.state, this.groupAgent.fetchedBytes);
     } catch {
-      this.carryOut(this.machine.engineFailed(Date.now()));
+      this.runEffects(this.groupAgent.engineFailed(Date.now()));
     }
   }
 
@@ -189,26 +196,28 @@
     const { weight, offset } = part;
     try {
       const data = await readWeights(weightStore, model, part);
-      const held = await engine.putWeight(weight, offset, data);
-      this.carryOut(this.machine.partArrived(part, held, Date.now()));
+      const heldBytes = await engine.putWeight(weight, offset, data);
+      this.runEffects(this.groupAgent.partArrived(part, heldBytes, Date.now()));
     } catch (thrown) {
       const error = toFailure(thrown, 1608);
       const { layer, expert } = weight;
       const reason = error.message;
       emit(165, { layer, expert, error: error.number, reason });
-      const retryAfter = retryAfterOf(error);
-      this.carryOut(this.machine.partFailed(part, retryAfter, Date.now()));
+      const retryAfterMs = retryAfterMsOf(error);
+      this.runEffects(
+        this.groupAgent.partFailed(part, retryAfterMs, Date.now()),
+      );
     }
   }
 
-  private settle(end: ProposalEnd, mapHash: string): void {
-    const { pending, options } = this;
+  private settleProposal(end: ProposalEnd, mapHash: string): void {
+    const { pendingProposal: pending, options } = this;
     if (pending === undefined) return;
-    this.pending = undefined;
-    const durationMs = Date.now() - pending.since;
-    options.metrics.ended(end, durationMs);
-    const text = end instanceof ApricotdeckError ? String(end.number) : end;
-    options.emit(160, { mapHash, end: text, durationMs });
-    pending.end.resolve(end);
+    this.pendingProposal = undefined;
+    const durationMs = Date.now() - pending.startedAtMs;
+    options.metrics.observeProposalEnd(end, durationMs);
+    const endLabel = end instanceof ApricotdeckError ? String(end.number) : end;
+    options.emit(160, { mapHash, end: endLabel, durationMs });
+    pending.outcome.resolve(end);
   }
 }
--- a/src/daemon/expert-map/peers.ts
+++ b/src/daemon/expert-map/peers.ts
@@ -1,4 +1,4 @@
-/** gRPC to the agents of the other members of the group. */
+/** gRPC clients for the agents of the group's other members. */
 import { Metadata } from "@grpc/grpc-js";
 import {
   toFailure,
@@ -14,7 +14,7 @@
 import { channelOptions, clientCredentials } from "../transport.js";
 import { toBody } from "./wire.js";
 
-/** Every message is sent again until it has served; it may as well be lost. */
+/** Messages are repeated until they have taken effect, so any one may be lost. */
 const DELIVERY_TIMEOUT_MS = 1_000;
 
 interface Peer {
@@ -37,7 +37,7 @@
     return new MapPeers(context, transport);
   }
 
-  /** Keeps clients for these members alone; names to host:port. */
+  /** Keeps clients for exactly these members, given as names to host:port. */
   setAddresses(addresses: ReadonlyMap<string, string>): void {
     for (const [name, peer] of this.peers) {
       if (addresses.get(name) === peer.address) continue;
@@ -57,7 +57,7 @@
     return this.peers.get(name)?.address;
   }
 
-  /** A message that can't be delivered is lost, and nobody is told. */
+  /** Drops a message that can't be delivered, without an error. */
   send(to: string, message: MapMessage): void {
     const peer = this.peers.get(to);
     if (peer === undefined) return;
@@ -65,13 +65,13 @@
     const envelope = { clock, from: this.context.name, body: toBody(message) };
     const options = { deadline: Date.now() + DELIVERY_TIMEOUT_MS };
     peer.client.deliver(envelope, new Metadata(), options, (_error, reply) => {
-      // Undefined beside an error, which the types of the library don't say.
-      const answered = reply as typeof reply | undefined;
-      if (answered !== undefined) this.context.clock.observe(answered.clock);
+      // Undefined on an error, which the library's types omit.
+      const received = reply as typeof reply | undefined;
+      if (received !== undefined) this.context.clock.observe(received.clock);
     });
   }
 
-  /** Asks which ranks a member hosts; throws 2001. */
+  /** Queries the ranks that a member hosts. Throws 2001. */
   async describe(name: string): Promise<GroupMember> {
     const peer = this.peers.get(name);
     const clock = this.context.clock.read();
@@ -79,7 +79,7 @@
     try {
       const reply = await new Promise<DescribeReply>((resolve, reject) => {
         if (peer === undefined) {
-          reject(new TypeError(`${name} isn't listed`));
+          reject(new TypeError(`no address is known for group member ${name}`));
           return;
         }
         const settle = (error: Error | null, value: DescribeReply): void => {
--- a/src/daemon/expert-map/weight-client.ts
+++ b/src/daemon/expert-map/weight-client.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's weight store: `GET /weights/{model}/{layer}/{expert}` with a
- * range of bytes. It answers 503 in an outage and 429 over its rate, both with
- * a time to come back where it knows one.
+ * Client for the platform's weight store, `GET /weights/{model}/{layer}/{expert}`
+ * with a byte range. It answers 503 during an outage and 429 above its rate
+ * limit, both with a Retry-After header if it knows the delay.
  */
 import { request } from "undici";
 import {
@@ -12,7 +12,7 @@
   type WeightPart,
 } from "../../internal.js";
 
-const TIMEOUT_MS = 10_000;
+const READ_TIMEOUT_MS = 10_000;
 const PARTIAL_CONTENT = 206;
 const MS_PER_SECOND = 1_000;
 
@@ -27,7 +27,7 @@
   try {
     const response = await request(`${store}/weights/${path}`, {
       headers: { range },
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(READ_TIMEOUT_MS),
     });
     const data = Buffer.from(await response.body.arrayBuffer());
     const { statusCode, headers } = response;
@@ -39,9 +39,9 @@
   }
 }
 
-/** When the store asked to come back; 0 when it didn't say. */
-export function retryAfterOf(error: ApricotdeckError): number {
+/** Delay that the store asked for, in ms; 0 if it named none. */
+export function retryAfterMsOf(error: ApricotdeckError): number {
   const { retryAfterMs } = error.detail;
-  const known = error.number === failure(1608).number;
-  return known && typeof retryAfterMs === "number" ? retryAfterMs : 0;
+  const isStoreFailure = error.number === failure(1608).number;
+  return isStoreFailure && typeof retryAfterMs === "number" ? retryAfterMs : 0;
 }
--- a/src/daemon/expert-map/wire.ts
+++ b/src/daemon/expert-map/wire.ts
@@ -1,4 +1,4 @@
-/** Conversions between the messages of the switch and their wire form. */
+/** Converts messages of the map switch to and from their wire format. */
 import {
   unreachable,
   type ExpertMap,
@@ -13,7 +13,7 @@
 
 type Body = NonNullable<MapEnvelope["body"]>;
 
-/** A copy whose slots are a plain array, for JSON and for the wire. */
+/** Copies a map with its slots as a plain array, for JSON and protobuf. */
 export function plainMap({ version, shape, slots }: ExpertMap): ExpertMap & {
   readonly slots: number[];
 } {
@@ -48,11 +48,16 @@
     }
     case "join": {
       const { formation, members, version, map } = message;
-      const wire = members.map(({ member, ranks }) => ({
+      const wireMembers = members.map(({ member, ranks }) => ({
         member,
         ranks: [...ranks],
       }));
-      const value = { formation, members: wire, version, map: plainMap(map) };
+      const value = {
+        formation,
+        members: wireMembers,
+        version,
+        map: plainMap(map),
+      };
       return { $case: "join", value };
     }
     case "joined":
@@ -69,12 +74,12 @@
   }
 }
 
-/** Undefined for a message that lacks a part; it counts as lost. */
+/** Undefined for a message without a required field, which is then dropped. */
 export function fromBody(body: Body): MapMessage | undefined {
   switch (body.$case) {
     case "stage": {
-      const { group, version, map: wire } = body.value;
-      const map = fromMap(wire);
+      const { group, version, map: wireMap } = body.value;
+      const map = fromMap(wireMap);
       if (group === undefined || map === undefined) return undefined;
       return { kind: "stage", group, version, map };
     }
@@ -84,8 +89,8 @@
       return { kind: "staged", ...rest, group, floor };
     }
     case "votes": {
-      const { proposal: wire, votes, wanted } = body.value;
-      const proposal = fromProposal(wire);
+      const { proposal: wireProposal, votes, wanted } = body.value;
+      const proposal = fromProposal(wireProposal);
       return proposal && { kind: "votes", proposal, votes, wanted };
     }
     case "seal": {
@@ -95,8 +100,8 @@
     case "sealed":
       return fromSealed(body.value);
     case "join": {
-      const { formation, members, version, map: wire } = body.value;
-      const map = fromMap(wire);
+      const { formation, members, version, map: wireMap } = body.value;
+      const map = fromMap(wireMap);
       if (formation === undefined || map === undefined) return undefined;
       return { kind: "join", formation, members, version, map };
     }
--- a/src/daemon/frame-writer.ts
+++ b/src/daemon/frame-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Collects the frames of one turn of the event loop into one message, so that
- * many short token frames share one gRPC write.
+ * Batches the frames of one event loop turn into one message, so that many
+ * short token frames share one gRPC write.
  */
 
 export class FrameWriter<Frame> {
@@ -34,7 +34,7 @@
     this.write(frames);
   }
 
-  /** Frames pushed later go nowhere. */
+  /** Discards pending frames and ignores frames pushed later. */
   close(): void {
     this.closed = true;
     this.pending = [];
--- a/src/daemon/listening.ts
+++ b/src/daemon/listening.ts
@@ -1,12 +1,12 @@
-/** A listening HTTP server that is closed by disposal. */
+/** Starts HTTP servers that are closed by disposal. */
 import type { Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { ListenSettings } from "./settings.js";
 
 export interface Listening extends AsyncDisposable {
-  /** host:port, with the port that the system handed out. */
+  /** host:port, with the port that the system assigned. */
   readonly address: string;
-  /** Takes no new connections; open ones go on. */
+  /** Stops accepting connections; open ones stay open while in use. */
   readonly stopAccepting: () => void;
 }
 
@@ -18,9 +18,9 @@
     server.once("error", reject);
     server.listen(port, host, resolve);
   });
-  const { port: given } = server.address() as AddressInfo;
+  const { port: boundPort } = server.address() as AddressInfo;
   return {
-    address: `${host}:${given}`,
+    address: `${host}:${boundPort}`,
     stopAccepting: () => {
       server.close();
       server.closeIdleConnections();
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -28,7 +28,7 @@
   process.once("SIGINT", leave);
   await using daemon = await startDaemon(settings, leave);
   const { name, role } = settings;
-  // The one line that isn't an event: tells the ports handed out.
+  // The only line that isn't an event; it reports the assigned ports.
   console.log(JSON.stringify({ ready: true, name, role, ...daemon.addresses }));
   await leaving.promise;
   await daemon.leave();
--- a/src/daemon/metrics-registry.ts
+++ b/src/daemon/metrics-registry.ts
@@ -1,4 +1,4 @@
-/** Registers the metrics of the table and takes their measurements. */
+/** Registers the metrics of `metricTable` and records their measurements. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import {
   metricTable,
@@ -23,19 +23,19 @@
   for (const [key, entry] of Object.entries<MetricEntry>(metricTable)) {
     metrics.set(key, createMetric(entry, registry));
   }
-  const pick = (key: MetricKey): Metric | undefined => metrics.get(key);
+  const findMetric = (key: MetricKey): Metric | undefined => metrics.get(key);
   const measurements: Measurements = {
-    count: (key, of = {}, amount = 1) => {
-      const metric = pick(key);
-      if (metric instanceof Counter) metric.inc(of, amount);
+    count: (key, labelValues = {}, amount = 1) => {
+      const metric = findMetric(key);
+      if (metric instanceof Counter) metric.inc(labelValues, amount);
     },
-    set: (key, value, of = {}) => {
-      const metric = pick(key);
-      if (metric instanceof Gauge) metric.set(of, value);
+    set: (key, value, labelValues = {}) => {
+      const metric = findMetric(key);
+      if (metric instanceof Gauge) metric.set(labelValues, value);
     },
-    observe: (key, value, of = {}) => {
-      const metric = pick(key);
-      if (metric instanceof Histogram) metric.observe(of, value);
+    observe: (key, value, labelValues = {}) => {
+      const metric = findMetric(key);
+      if (metric instanceof Histogram) metric.observe(labelValues, value);
     },
   };
   return { registry, measurements };
--- a/src/daemon/operators-server.ts
+++ b/src/daemon/operators-server.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' address of a daemon: metrics, health, readiness, status,
- * events and the order to leave. Never reachable by callers.
+ * HTTP server for operators: metrics, health, readiness, status, events and
+ * graceful shutdown. Its address must never be reachable by callers.
  */
 import {
   createServer,
@@ -16,9 +16,9 @@
   readonly events: EventLog;
   readonly metrics: Registry;
   readonly isReady: () => boolean;
-  /** Anything that JSON can carry. */
+  /** Any value that JSON can represent. */
   readonly status: () => unknown;
-  /** Begins a graceful shutdown. */
+  /** Starts a graceful shutdown. */
   readonly leave: () => void;
 }
 
@@ -63,12 +63,12 @@
 ): Promise<Listening> {
   collectDefaultMetrics({ register: source.metrics });
   const server = createServer((request, response) => {
-    void answer(request, response, source);
+    void handleRequest(request, response, source);
   });
   return listen(server, settings);
 }
 
-async function answer(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   source: OperatorsSource,
@@ -82,7 +82,7 @@
   await handler(url, response, source);
 }
 
-/** Only the metrics, for processes that are operated through the platform. */
+/** Serves only the metrics, for processes operated through the platform. */
 export async function startMetricsServer(
   settings: ListenSettings,
   metrics: Registry,
--- a/src/daemon/peer-server.ts
+++ b/src/daemon/peer-server.ts
@@ -1,9 +1,9 @@
-/** The address at which a daemon serves the other daemons. */
+/** Binds the server through which a daemon serves other daemons. */
 import type { Server } from "@grpc/grpc-js";
 import type { ListenSettings, TransportSettings } from "./settings.js";
 import { serverCredentials } from "./transport.js";
 
-/** host:port that the server listens on. */
+/** Returns the host:port that the server listens on. */
 export async function bindServer(
   server: Server,
   settings: { peers: ListenSettings; transport: TransportSettings },
@@ -11,11 +11,11 @@
   const { host, port } = settings.peers;
   const address = `${host}:${port}`;
   const credentials = serverCredentials(settings.transport, address);
-  const given = await new Promise<number>((resolve, reject) => {
+  const boundPort = await new Promise<number>((resolve, reject) => {
     server.bindAsync(address, credentials, (error, bound) => {
       if (error === null) resolve(bound);
       else reject(error);
     });
   });
-  return `${host}:${given}`;
+  return `${host}:${boundPort}`;
 }
--- a/src/daemon/process-context.ts
+++ b/src/daemon/process-context.ts
@@ -1,4 +1,4 @@
-/** What every part of one daemon process shares. */
+/** State shared by all parts of a daemon process. */
 import { randomUUID } from "node:crypto";
 import type { Registry } from "prom-client";
 import { HybridClock, type Emit, type Measurements } from "../internal.js";
@@ -9,7 +9,7 @@
 export interface ProcessContext {
   readonly name: string;
   readonly dataCentre: string;
-  /** New for every start, so that a restarted process is told apart. */
+  /** New on every start, so that a restarted process can be distinguished. */
   readonly incarnation: string;
   readonly clock: HybridClock;
   readonly events: EventLog;
--- a/src/daemon/session-frames.ts
+++ b/src/daemon/session-frames.ts
@@ -1,4 +1,4 @@
-/** Frames of a session to and from the wire. */
+/** Converts the frames of a session to and from their wire format. */
 import {
   isErrorNumber,
   type AgentFrame,
@@ -39,7 +39,7 @@
   }
 }
 
-/** Undefined for a kind that this release doesn't know. */
+/** Undefined for a frame kind unknown to this release. */
 export function readEntryFrame({ body }: EntryMessage): EntryFrame | undefined {
   switch (body?.$case) {
     case "open":
@@ -98,7 +98,7 @@
   }
 }
 
-/** Undefined for a kind that this release doesn't know. */
+/** Undefined for a frame kind unknown to this release. */
 export function readAgentFrame({ body }: AgentMessage): AgentFrame | undefined {
   switch (body?.$case) {
     case "piece": {
@@ -121,9 +121,17 @@
       return { kind: "end", ...value, isVouched };
     }
     case "refused":
-      return { kind: "refused", ...body.value, error: errorOf(body.value) };
+      return {
+        kind: "refused",
+        ...body.value,
+        error: knownErrorNumber(body.value),
+      };
     case "broken":
-      return { kind: "broken", ...body.value, error: errorOf(body.value) };
+      return {
+        kind: "broken",
+        ...body.value,
+        error: knownErrorNumber(body.value),
+      };
     case "heartbeat":
       return { kind: "heartbeat" };
     case "load":
@@ -139,8 +147,8 @@
   return { clock: NO_CLOCK, ...reply };
 }
 
-/** An error of a newer release is told as an internal one. */
-function errorOf({ error }: { readonly error: number }): ErrorNumber {
+/** Maps an error number of a newer release to 1215, the internal failure. */
+function knownErrorNumber({ error }: { readonly error: number }): ErrorNumber {
   return isErrorNumber(error) ? error : 1215;
 }
 
--- a/src/daemon/settings-file.ts
+++ b/src/daemon/settings-file.ts
@@ -1,4 +1,4 @@
-/** Reads settings in JSON with comments and checks them by a schema. */
+/** Reads settings, JSON with comments, and validates them against a schema. */
 import { readFileSync } from "node:fs";
 import { parse, printParseErrorCode, type ParseError } from "jsonc-parser";
 import type { z } from "zod";
@@ -13,7 +13,7 @@
   }
 }
 
-/** Throws 1002 with the line or the field, and what was expected. */
+/** Throws 1002 with the line, or with the field and the expected value. */
 export function parseSettingsText<T>(
   schema: z.ZodType<T>,
   text: string,
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,7 +1,8 @@
 /**
- * Settings of one daemon: a file in JSON with comments, checked by a schema.
- * A wrong or unknown field stops the start, naming file, path and what was
- * expected, because nobody can log in later to notice a mistyped name.
+ * Settings of one daemon: a JSON file with comments, validated by a schema. A
+ * wrong or unknown field prevents the start, with an error that names the file,
+ * the path and the expected value, because nobody can log in later to notice a
+ * mistyped name.
  */
 import { z } from "zod";
 import { DEFAULT_WINDOWS } from "../internal.js";
@@ -136,7 +137,7 @@
     limits: callerLimits.prefault({}),
     claims: z
       .strictObject({
-        /** This entry's part of the appends that the log takes. */
+        /** This entry's share of the log's append rate. */
         appendsPerSecond: z.int().min(1).default(50),
       })
       .readonly()
--- a/src/daemon/transport.ts
+++ b/src/daemon/transport.ts
@@ -1,4 +1,4 @@
-/** Credentials of the connections between daemons. */
+/** Channel options and credentials of connections between daemons. */
 import { readFileSync } from "node:fs";
 import { isIP } from "node:net";
 import {
@@ -16,21 +16,21 @@
 }
 
 const MAXIMUM_MESSAGE_BYTES = 32 * 1024 * 1024;
-const PING_INTERVAL_MS = 2000;
-const PING_TIMEOUT_MS = 2000;
+const KEEPALIVE_INTERVAL_MS = 2000;
+const KEEPALIVE_TIMEOUT_MS = 2000;
 
 export const channelOptions: ChannelOptions = {
   "grpc.max_receive_message_length": MAXIMUM_MESSAGE_BYTES,
   "grpc.max_send_message_length": MAXIMUM_MESSAGE_BYTES,
-  // A shared subchannel would put the new connection that replaces a silent
-  // one onto the same silent socket.
+  // With a shared subchannel, a client created to replace one whose connection
+  // doesn't respond would use the same socket.
   "grpc.use_local_subchannel_pool": 1,
-  // Something between two daemons may lose track of a connection: it stays
-  // open and takes writes, and every call on it ends at its deadline, for good.
-  // A ping without an answer drops the connection, and the next call opens a
-  // new one, so a peer is out of reach for four seconds at the most.
-  "grpc.keepalive_time_ms": PING_INTERVAL_MS,
-  "grpc.keepalive_timeout_ms": PING_TIMEOUT_MS,
+  // A network device between two daemons can lose the state of a connection:
+  // the socket stays open and accepts writes, but every call on it runs into
+  // its deadline. An unanswered ping closes the connection, and the next call
+  // opens a new one, so a peer is unreachable for at most four seconds.
+  "grpc.keepalive_time_ms": KEEPALIVE_INTERVAL_MS,
+  "grpc.keepalive_timeout_ms": KEEPALIVE_TIMEOUT_MS,
   "grpc.keepalive_permit_without_calls": 1,
 };
 
@@ -38,9 +38,9 @@
   settings: TransportSettings,
   address: string,
 ): ChannelCredentials {
-  const material = keyMaterial(settings);
+  const material = readKeyMaterial(settings);
   if (material === undefined) {
-    requirePlaintext(settings, address);
+    assertPlaintextAllowed(settings, address);
     return ChannelCredentials.createInsecure();
   }
   const { authority, key, certificate } = material;
@@ -51,9 +51,9 @@
   settings: TransportSettings,
   address: string,
 ): ServerCredentials {
-  const material = keyMaterial(settings);
+  const material = readKeyMaterial(settings);
   if (material === undefined) {
-    requirePlaintext(settings, address);
+    assertPlaintextAllowed(settings, address);
     return ServerCredentials.createInsecure();
   }
   const pair = {
@@ -63,8 +63,11 @@
   return ServerCredentials.createSsl(material.authority, [pair], true);
 }
 
-/** Answers would cross a network readable by anyone; refused by default. */
-function requirePlaintext(settings: TransportSettings, address: string): void {
+/** Refuses by default to send answers over a network unencrypted. */
+function assertPlaintextAllowed(
+  settings: TransportSettings,
+  address: string,
+): void {
   if (settings.allowPlaintext || isLoopback(address)) return;
   raise(1003, { address });
 }
@@ -75,7 +78,7 @@
   return isIP(host) === 4 && host.startsWith("127.");
 }
 
-function keyMaterial(settings: TransportSettings): KeyMaterial | undefined {
+function readKeyMaterial(settings: TransportSettings): KeyMaterial | undefined {
   const { certificateFile, keyFile, authorityFile } = settings;
   const files = [certificateFile, keyFile, authorityFile];
   if (files.every((file) => file === undefined)) return undefined;
--- a/tests/daemon/answer-framing.test.ts
+++ b/tests/daemon/answer-framing.test.ts
@@ -10,40 +10,43 @@
 import { describe, it } from "../support/describe.js";
 import { callHttp } from "../support/http-call.js";
 
-/** Between the first bytes and the last ones, ms. */
-const PAUSE_MS = 20;
+/** Delay between the first bytes and the last ones. */
+const WRITE_DELAY_MS = 20;
 
-/** Breaks off right behind its last bytes, before anybody has read them. */
-function breakOffBehindBytes(response: ServerResponse): void {
+/** Breaks off right after the last bytes, before the caller has read them. */
+function breakOffAfterWrite(response: ServerResponse): void {
   response.write("first ");
   setTimeout(() => {
     response.write("last");
-    // By then the bytes have left, and nobody has had the time to read them.
+    // The bytes have been sent by now, but not yet read.
     process.nextTick(() => {
       breakOff(response);
     });
-  }, PAUSE_MS);
+  }, WRITE_DELAY_MS);
 }
 
-describe("a broken answer without length or chunks", () => {
-  it("shows as broken to a caller that reads late", async () => {
-    // Caller: all bytes and a plain end, as of a whole answer. The reset came
-    // while the last bytes were still unread, and an event loop that finds
-    // bytes and a reset at once (libuv's) reports the bytes and an end.
+describe("a broken answer without a length or chunked encoding", () => {
+  it("is reported as broken to a caller that reads late", async () => {
+    // Guards against a truncated answer that looks complete to the caller. If
+    // the reset arrives while the last bytes are unread, an event loop that
+    // finds bytes and a reset at once (libuv's) reports the bytes and an end.
     const server = createServer((_, response) => {
       endWithConnection(response);
-      breakOffBehindBytes(response);
+      breakOffAfterWrite(response);
     });
-    await using site = await listen(server, { host: "127.0.0.1", port: 0 });
-    const answer = await callHttp({ address: site.address, path: "/" });
+    await using listening = await listen(server, {
+      host: "127.0.0.1",
+      port: 0,
+    });
+    const answer = await callHttp({ address: listening.address, path: "/" });
     assert.is(answer.body, "first last");
     assert.is(answer.fault, "ECONNRESET");
   });
 
-  it("closes the connection behind an earlier answer", async () => {
-    // Caller: the first of two answers, then nothing for as long as it waits.
-    // It had sent both requests at once; the second answer broke off while the
-    // first still ran, and had no connection yet that could be reset.
+  it("closes the connection after an earlier pipelined answer", async () => {
+    // Guards against a caller that pipelines two requests and waits for the
+    // second answer forever. That answer broke off while the first one was
+    // still running, when it had no connection yet that could be reset.
     const server = createServer((request, response) => {
       if (request.url === "/first") {
         setTimeout(() => response.end("first"), 4 * RESET_DELAY_MS);
@@ -53,12 +56,15 @@
       response.write("half of");
       breakOff(response);
     });
-    await using site = await listen(server, { host: "127.0.0.1", port: 0 });
-    const [host, port] = site.address.split(":");
+    await using listening = await listen(server, {
+      host: "127.0.0.1",
+      port: 0,
+    });
+    const [host, port] = listening.address.split(":");
     const socket = connect(Number(port), host);
-    let isLate = false;
-    const late = setTimeout(() => {
-      isLate = true;
+    let hasTimedOut = false;
+    const timeout = setTimeout(() => {
+      hasTimedOut = true;
       socket.destroy();
     }, 1000);
     let text = "";
@@ -69,8 +75,8 @@
     socket.write("GET /first HTTP/1.1\r\nhost: a\r\n\r\n");
     socket.write("GET /second HTTP/1.1\r\nhost: a\r\n\r\n");
     await new Promise((resolve) => socket.once("close", resolve));
-    clearTimeout(late);
-    assert.not.ok(isLate);
+    clearTimeout(timeout);
+    assert.not.ok(hasTimedOut);
     assert.match(text, /first$/);
   });
 });
--- a/tests/daemon/bounded-output.test.ts
+++ b/tests/daemon/bounded-output.test.ts
@@ -1,14 +1,17 @@
 import * as assert from "uvu/assert";
-import { BoundedOutput, HELD_BYTES } from "../../src/daemon/bounded-output.js";
-import { LineBudget } from "../../src/daemon/line-budget.js";
+import {
+  BoundedOutput,
+  MAX_BUFFERED_BYTES,
+} from "../../src/daemon/bounded-output.js";
+import { LogRateLimiter } from "../../src/daemon/log-rate-limiter.js";
 import { describe, it } from "../support/describe.js";
 
 const LINE = `${"x".repeat(999)}\n`;
 
 describe("bounded output", () => {
-  it("costs bounded memory while a reader stalls, and tells what is missing", () => {
-    // The collector of the logs stops reading. Requests must go on: nothing
-    // waits for the write, and memory stays within its bound.
+  it("uses bounded memory while a reader stalls, and reports how many lines it dropped", () => {
+    // Guards against a log collector that stops reading and thereby blocks
+    // requests: nothing may wait for the write, and memory must stay bounded.
     let resume: () => void = () => undefined;
     const written: Buffer[] = [];
     let dropped = 0;
@@ -25,18 +28,18 @@
     });
     output.write(LINE);
     output.flush();
-    const lines = 3 * Math.ceil(HELD_BYTES / LINE.length);
+    const lines = 3 * Math.ceil(MAX_BUFFERED_BYTES / LINE.length);
     for (let line = 0; line < lines; line += 1) output.write(LINE);
     output.flush();
     assert.is(written.length, 1, "one write at a time");
     resume();
-    const kept = Math.floor(HELD_BYTES / LINE.length);
+    const kept = Math.floor(MAX_BUFFERED_BYTES / LINE.length);
     assert.is(dropped, lines - kept);
     assert.is(written.at(1)?.length, kept * LINE.length);
     resume();
   });
 
-  it("goes on after a failed write", () => {
+  it("continues after a failed write", () => {
     const written: string[] = [];
     const output = BoundedOutput.create({
       writeOut: (bytes, done) => {
@@ -53,25 +56,25 @@
   });
 });
 
-describe("line budget", () => {
-  it("keeps a second's lines within the budget and counts the rest", () => {
+describe("log rate limiter", () => {
+  it("limits the lines of a second and counts the omitted ones", () => {
     let nowMs = 0;
-    const budget = LineBudget.create(() => nowMs);
-    budget.turn();
+    const limiter = LogRateLimiter.create(() => nowMs);
+    limiter.startPeriodIfDue();
     let kept = 0;
     for (let line = 0; line < 1000; line += 1) {
-      if (budget.take(214, "info")) kept += 1;
+      if (limiter.tryAcquire(214, "info")) kept += 1;
     }
     assert.is(kept, 100);
-    assert.equal(budget.turn(), []);
+    assert.equal(limiter.startPeriodIfDue(), []);
     nowMs = 1000;
-    assert.equal(budget.turn(), [[214, 900]]);
-    assert.ok(budget.take(214, "info"));
+    assert.equal(limiter.startPeriodIfDue(), [[214, 900]]);
+    assert.ok(limiter.tryAcquire(214, "info"));
   });
 
-  it("keeps failures when successes are many", () => {
-    const budget = LineBudget.create(() => 0);
-    for (let line = 0; line < 1000; line += 1) budget.take(216, "info");
-    assert.ok(budget.take(222, "warn"));
+  it("still logs failures when successes exceed their limit", () => {
+    const limiter = LogRateLimiter.create(() => 0);
+    for (let line = 0; line < 1000; line += 1) limiter.tryAcquire(216, "info");
+    assert.ok(limiter.tryAcquire(222, "warn"));
   });
 });
--- a/tests/daemon/runner-client.test.ts
+++ b/tests/daemon/runner-client.test.ts
@@ -8,13 +8,13 @@
 const DEADLINE_MS = 2000;
 const RESET_AFTER_MS = 40;
 
-type Ending = (socket: Socket) => void;
+type CloseConnection = (socket: Socket) => void;
 
-const closeInOrder: Ending = (socket) => {
+const closeGracefully: CloseConnection = (socket) => {
   socket.end();
 };
 
-const reset: Ending = (socket) => {
+const reset: CloseConnection = (socket) => {
   setTimeout(() => {
     socket.resetAndDestroy();
   }, RESET_AFTER_MS);
@@ -37,20 +37,20 @@
   };
 }
 
-interface Read {
+interface ObservedAnswer {
   readonly isEndMarked: boolean | undefined;
   readonly text: string;
-  /** Error number; 0 when the answer came to its end. */
+  /** Error number; 0 if the answer is complete. */
   readonly error: number;
 }
 
-/** What the agent reads of these bytes, and of the connection's end. */
-async function read(
+/** The answer that the agent reads from these bytes and this connection's end. */
+async function readAnswer(
   head: readonly string[],
   body: string,
-  end = closeInOrder,
+  end = closeGracefully,
   method = "GET",
-): Promise<Read> {
+): Promise<ObservedAnswer> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => {
@@ -78,75 +78,80 @@
   let error = 0;
   try {
     await client.start(work, sink, signal);
-  } catch (problem) {
-    error = toFailure(problem, 1215).number;
+  } catch (thrown) {
+    error = toFailure(thrown, 1215).number;
   }
   server.close();
   return { isEndMarked, text, error };
 }
 
 const OK = "HTTP/1.1 200 OK";
-const EVENTS = "content-type: text/event-stream";
-const CODED = "transfer-encoding: gzip";
+const EVENT_STREAM = "content-type: text/event-stream";
+const GZIP_ENCODING = "transfer-encoding: gzip";
 
 describe("the answer of a backend server", () => {
-  it("marks its end by a length or chunks, and where it has no body", async () => {
+  it("has a marked end with a length, with chunked encoding or without a body", async () => {
     const marked = [
-      await read(["HTTP/1.0 200 OK", "content-length: 2"], "ab"),
-      await read(
-        [OK, CODED, "transfer-encoding: chunked"],
+      await readAnswer(["HTTP/1.0 200 OK", "content-length: 2"], "ab"),
+      await readAnswer(
+        [OK, GZIP_ENCODING, "transfer-encoding: chunked"],
         "2\r\nab\r\n0\r\n\r\n",
       ),
     ];
-    for (const seen of marked) {
-      assert.equal(seen, { isEndMarked: true, text: "ab", error: 0 });
+    for (const answer of marked) {
+      assert.equal(answer, { isEndMarked: true, text: "ab", error: 0 });
     }
     const empty = [
-      await read([OK], "", closeInOrder, "HEAD"),
-      await read(["HTTP/1.1 204 No Content"], ""),
+      await readAnswer([OK], "", closeGracefully, "HEAD"),
+      await readAnswer(["HTTP/1.1 204 No Content"], ""),
     ];
-    for (const seen of empty) {
-      assert.equal(seen, { isEndMarked: true, text: "", error: 0 });
+    for (const answer of empty) {
+      assert.equal(answer, { isEndMarked: true, text: "", error: 0 });
     }
   });
 
-  it("marks no end that is its connection's", async () => {
+  it("has no marked end if it ends with its connection", async () => {
     const unmarked = [
-      await read([OK], "ab"),
-      await read(["HTTP/1.0 200 OK"], "ab"),
-      await read([OK, CODED], "ab"),
-      await read(["HTTP/1.1 103 Early Hints", "", OK], "ab"),
-      await read(["HTTP/1.1 500 Failed"], "ab"),
+      await readAnswer([OK], "ab"),
+      await readAnswer(["HTTP/1.0 200 OK"], "ab"),
+      await readAnswer([OK, GZIP_ENCODING], "ab"),
+      await readAnswer(["HTTP/1.1 103 Early Hints", "", OK], "ab"),
+      await readAnswer(["HTTP/1.1 500 Failed"], "ab"),
     ];
-    for (const seen of unmarked) {
-      assert.equal(seen, { isEndMarked: false, text: "ab", error: 0 });
+    for (const answer of unmarked) {
+      assert.equal(answer, { isEndMarked: false, text: "ab", error: 0 });
     }
   });
 
-  // The caller is told that its answer broke off. The connection is reset
-  // inside an answer that ends with it; the client library calls that its end.
-  it("has failed when its connection is reset", async () => {
-    for (const head of [[OK], [OK, CODED]]) {
-      const { error } = await read(head, "ab", reset);
+  // Guards against a truncated answer that passes as complete: if a connection
+  // is reset inside an answer that ends with it, the client library reports a
+  // normal end.
+  it("fails if its connection is reset", async () => {
+    for (const head of [[OK], [OK, GZIP_ENCODING]]) {
+      const { error } = await readAnswer(head, "ab", reset);
       assert.is(error, 1216);
     }
   });
 
-  // The caller gets the whole stream. Its closing event came before the
-  // connection broke, so nothing is missing, however HTTP framed it.
-  it("is a whole stream after its closing event, however it ends", async () => {
+  // Guards against a complete stream that is reported as broken: after the
+  // closing event nothing is missing, whatever the HTTP framing announced.
+  it("is a complete stream after its closing event, however its connection ends", async () => {
     const body = "data: a\n\ndata: [DONE]\n\n";
-    for (const end of [closeInOrder, reset]) {
-      const seen = await read([OK, EVENTS], body, end);
-      assert.equal(seen, { isEndMarked: true, text: "a", error: 0 });
-      const framed = [OK, EVENTS, "content-length: 99"];
-      assert.equal(await read(framed, body, end), seen);
+    for (const end of [closeGracefully, reset]) {
+      const answer = await readAnswer([OK, EVENT_STREAM], body, end);
+      assert.equal(answer, { isEndMarked: true, text: "a", error: 0 });
+      const framed = [OK, EVENT_STREAM, "content-length: 99"];
+      assert.equal(await readAnswer(framed, body, end), answer);
     }
   });
 
-  it("is a broken stream before its closing event", async () => {
-    for (const end of [closeInOrder, reset]) {
-      const { error } = await read([OK, EVENTS], "data: a\n\n", end);
+  it("is a broken stream if it ends before its closing event", async () => {
+    for (const end of [closeGracefully, reset]) {
+      const { error } = await readAnswer(
+        [OK, EVENT_STREAM],
+        "data: a\n\n",
+        end,
+      );
       assert.is(error, 1216);
     }
   });
--- a/tests/transport/mutual-authentication.test.ts
+++ b/tests/transport/mutual-authentication.test.ts
@@ -18,25 +18,26 @@
 } from "../../src/wire/generated/balance.js";
 import { describe, it } from "../support/describe.js";
 
-const CALL_MS = 2000;
-const folder = new URL(
+const CALL_TIMEOUT_MS = 2000;
+const certificatesFolder = new URL(
   "../../../tests/transport/certificates/",
   import.meta.url,
 );
-const fileOf = (name: string): string => fileURLToPath(new URL(name, folder));
+const certificatePath = (name: string): string =>
+  fileURLToPath(new URL(name, certificatesFolder));
 
 function transportOf(holder: string): TransportSettings {
   return {
-    certificateFile: fileOf(`${holder}.pem`),
-    keyFile: fileOf(`${holder}.key`),
-    authorityFile: fileOf("authority.pem"),
+    certificateFile: certificatePath(`${holder}.pem`),
+    keyFile: certificatePath(`${holder}.key`),
+    authorityFile: certificatePath("authority.pem"),
     allowPlaintext: false,
   };
 }
 
 const plaintext: TransportSettings = { allowPlaintext: false };
 
-function agentSettings(): ReturnType<typeof parseSettings> {
+function entrySettings(): ReturnType<typeof parseSettings> {
   const settings = {
     role: "entry",
     name: "entry",
@@ -54,7 +55,7 @@
 ): Promise<boolean> {
   const credentials = clientCredentials(transport, address);
   const client = new ExpertBalanceClient(address, credentials, channelOptions);
-  const deadline = Date.now() + CALL_MS;
+  const deadline = Date.now() + CALL_TIMEOUT_MS;
   const report = {
     clock: undefined,
     group: "pool",
@@ -75,7 +76,7 @@
 }
 
 describe("connections between daemons with certificates", () => {
-  it("serve only callers that the authority has signed", async () => {
+  it("serve only peers with a certificate signed by the authority", async () => {
     const server = new Server();
     server.addService(ExpertBalanceService, {
       reportWindow: (
@@ -85,9 +86,9 @@
         reply(null, {});
       },
     });
-    const address = await bindServer(server, agentSettings());
+    const address = await bindServer(server, entrySettings());
     assert.ok(await isAnswered(address, transportOf("daemon")));
-    assert.not(await isAnswered(address, transportOf("stranger")));
+    assert.not(await isAnswered(address, transportOf("untrusted")));
     assert.not(await isAnswered(address, plaintext));
     server.forceShutdown();
   });
@@ -95,22 +96,22 @@
 
 describe("connections between daemons without certificates", () => {
   it("are refused beyond loopback unless the settings allow them", () => {
-    for (const make of [clientCredentials, serverCredentials]) {
+    for (const createCredentials of [clientCredentials, serverCredentials]) {
       try {
-        make(plaintext, "10.0.0.1:4000");
+        createCredentials(plaintext, "10.0.0.1:4000");
         assert.unreachable("plaintext was allowed");
       } catch (error) {
         assert.is((error as ApricotdeckError).number, 1003);
       }
-      make({ allowPlaintext: true }, "10.0.0.1:4000");
+      createCredentials({ allowPlaintext: true }, "10.0.0.1:4000");
     }
   });
 
   it("need certificate, key and authority together", () => {
-    const half = { ...plaintext, keyFile: fileOf("daemon.key") };
+    const incomplete = { ...plaintext, keyFile: certificatePath("daemon.key") };
     try {
-      clientCredentials(half, "127.0.0.1:4000");
-      assert.unreachable("half of the files were taken");
+      clientCredentials(incomplete, "127.0.0.1:4000");
+      assert.unreachable("an incomplete set of files was accepted");
     } catch (error) {
       assert.is((error as ApricotdeckError).number, 1002);
     }
