--- a/fuzz/claims/claims.ts
+++ b/fuzz/claims/claims.ts
@@ -1,16 +1,22 @@
 /**
- * Fuzz target `claims`: at most one start for a key, no "not run" for a key
- * that ever starts, one outcome for every call, all readers alike.
+ * Fuzz target `claims`. Invariants: a key starts at most once; a key that was
+ * answered with "not run" never starts; every call has an outcome; all readers
+ * of the log derive the same state.
  */
 import fc from "fast-check";
 import { claimRules, coordinatorRules } from "../../src/internal.js";
 import { runHistories } from "../run-property.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "../target.js";
 import { NO_FAULTS } from "./log.js";
-import { AGENTS, ClaimsWorld, ENTRIES, type WorldRules } from "./world.js";
+import {
+  AGENTS,
+  ClaimsSimulation,
+  ENTRIES,
+  type SimulationRules,
+} from "./simulation.js";
 
 const KEYS = 2;
-const LONGEST_HISTORY = 30;
+const MAXIMUM_HISTORY_COMMANDS = 30;
 
 export type ClaimsCommand =
   | { readonly kind: "call"; readonly entry: number; readonly key: number }
@@ -95,134 +101,147 @@
 );
 
 function runCommand(
-  world: ClaimsWorld,
+  simulation: ClaimsSimulation,
   keys: readonly string[],
   step: ClaimsCommand,
 ): void {
   switch (step.kind) {
     case "call":
-      world.call(step.entry, keys[step.key]);
+      simulation.call(step.entry, keys[step.key]);
       return;
     case "call-without-key":
-      world.call(step.entry, undefined);
+      simulation.call(step.entry, undefined);
       return;
     case "advance":
-      world.time.advance(step.ms);
+      simulation.time.advance(step.ms);
       return;
     case "outage":
-      world.setOutage(step.isDown);
+      simulation.setOutage(step.isDown);
       return;
     case "append-fault": {
       const { loseAnswer, duplicate, delayMs } = step;
-      world.log.nextAppend = { ...NO_FAULTS, loseAnswer, duplicate, delayMs };
+      simulation.log.nextAppend = {
+        ...NO_FAULTS,
+        loseAnswer,
+        duplicate,
+        delayMs,
+      };
       return;
     }
     case "delay-dispatch":
-      world.nextDispatchDelayMs = step.ms;
+      simulation.nextDispatchDelayMs = step.ms;
       return;
     case "pause":
-      world.pauseEntry(step.entry);
+      simulation.pauseEntry(step.entry);
       return;
     case "resume":
-      world.resumeEntry(step.entry);
+      simulation.resumeEntry(step.entry);
       return;
     case "restart-entry":
-      world.restartEntry(step.entry);
+      simulation.restartEntry(step.entry);
       return;
     case "restart-agent":
-      world.restartAgent(step.agent);
+      simulation.restartAgent(step.agent);
       return;
     case "change-agent": {
       const { isReachable, isFull } = step;
-      world.changeAgent(step.agent, { isReachable, isFull });
+      simulation.changeAgent(step.agent, { isReachable, isFull });
       return;
     }
     case "trim":
-      world.log.trim();
+      simulation.log.trim();
   }
 }
 
-/** What still has to be possible once the faults are over. */
+/**
+ * Checks that a repeat of each unstarted key makes progress once the faults are
+ * over. Skipped when an agent restarted, records were trimmed or much time has
+ * passed: the outcome may then legitimately stay unknown.
+ */
 function checkRepeats(
-  world: ClaimsWorld,
+  simulation: ClaimsSimulation,
   keys: readonly string[],
   steps: readonly ClaimsCommand[],
 ): void {
-  const lost = steps.some(
+  const stateLost = steps.some(
     ({ kind }) => kind === "restart-agent" || kind === "trim",
   );
   const waitedMs = steps.reduce(
     (sum, step) => sum + (step.kind === "advance" ? step.ms : 0),
     0,
   );
-  if (lost || waitedMs > 100_000) return;
+  if (stateLost || waitedMs > 100_000) return;
   for (const key of keys) {
-    if (world.hasStarted(key)) continue;
-    const index = world.calls.length;
-    world.call(0, key);
-    world.time.advance(6_000);
-    const outcome = world.outcomeOf(index);
-    if (world.hasStarted(key) || outcome === "1306") continue;
-    world.violations.push(`a repeat of ${key} can't go on: ${outcome}`);
+    if (simulation.hasStarted(key)) continue;
+    const index = simulation.calls.length;
+    simulation.call(0, key);
+    simulation.time.advance(6_000);
+    const outcome = simulation.outcomeOf(index);
+    if (simulation.hasStarted(key) || outcome === "1306") continue;
+    simulation.violations.push(
+      `a repeat of ${key} makes no progress: ${outcome}`,
+    );
   }
 }
 
-/** The violations of one history under the real rules. */
+/** Returns the violations of one history under the unmodified rules. */
 export function replayClaims(
   steps: readonly ClaimsCommand[],
 ): readonly string[] {
-  return runHistory(sound, steps);
+  return runHistory(correctRules, steps);
 }
 
 function runHistory(
-  rules: WorldRules,
+  rules: SimulationRules,
   steps: readonly ClaimsCommand[],
 ): readonly string[] {
-  const world = ClaimsWorld.create(rules);
-  const keys = Array.from({ length: KEYS }, () => world.newId());
-  for (const step of steps) runCommand(world, keys, step);
-  world.calmDown();
-  checkRepeats(world, keys, steps);
-  world.check();
-  return world.violations;
+  const simulation = ClaimsSimulation.create(rules);
+  const keys = Array.from({ length: KEYS }, () => simulation.newId());
+  for (const step of steps) runCommand(simulation, keys, step);
+  simulation.endFaults();
+  checkRepeats(simulation, keys, steps);
+  simulation.check();
+  return simulation.violations;
 }
 
-const sound: WorldRules = {
+const correctRules: SimulationRules = {
   coordinator: coordinatorRules,
-  keeper: (gate) => gate,
+  attemptRegistry: (gate) => gate,
 };
 
-const withTable = (change: Partial<typeof claimRules>): WorldRules => ({
-  ...sound,
+const withTableChange = (
+  change: Partial<typeof claimRules>,
+): SimulationRules => ({
+  ...correctRules,
   coordinator: { ...coordinatorRules, table: { ...claimRules, ...change } },
 });
 
-const mutants: Readonly<Partial<Record<string, WorldRules>>> = {
+const mutations: Readonly<Partial<Record<string, SimulationRules>>> = {
   "dispatch-before-reading": {
-    ...sound,
-    coordinator: { ...coordinatorRules, awaitsReading: false },
+    ...correctRules,
+    coordinator: { ...coordinatorRules, awaitsReadBack: false },
   },
   "release-without-proof": {
-    ...sound,
-    coordinator: { ...coordinatorRules, wantsProof: false },
+    ...correctRules,
+    coordinator: { ...coordinatorRules, requiresReleaseProof: false },
   },
   "not-run-without-close": {
-    ...sound,
-    coordinator: { ...coordinatorRules, refusesTruthfully: false },
+    ...correctRules,
+    coordinator: { ...coordinatorRules, closesBeforeNotRun: false },
   },
-  "second-claim-wins": withTable({ isNextGeneration: () => true }),
-  "late-release-counts": withTable({ fits: () => true }),
-  "trimmed-records-ignored": withTable({ isComplete: () => true }),
+  "second-claim-wins": withTableChange({ isNextGeneration: () => true }),
+  "late-release-counts": withTableChange({ matchesClaim: () => true }),
+  "trimmed-records-ignored": withTableChange({ isComplete: () => true }),
   "tombstone-not-kept": {
-    ...sound,
-    keeper: (gate) => ({
+    ...correctRules,
+    attemptRegistry: (gate) => ({
       find: (attempt, incarnation) => gate.find(attempt, incarnation),
       withdraw: () => true,
     }),
   },
   "agent-incarnation-unchecked": {
-    ...sound,
-    keeper: (gate, incarnation) => ({
+    ...correctRules,
+    attemptRegistry: (gate, incarnation) => ({
       find: (attempt) => gate.find(attempt, incarnation),
       withdraw: (attempt, _meantFor, nowMs) =>
         gate.withdraw(attempt, incarnation, nowMs),
@@ -230,14 +249,14 @@
   },
 };
 
-const MUTATION_LIMIT = 2_000;
+const MUTATION_HISTORY_LIMIT = 2_000;
 
 function run(settings: FuzzSettings): Promise<FuzzResult> {
   const { mutation } = settings;
-  const rules = mutation === undefined ? sound : mutants[mutation];
+  const rules = mutation === undefined ? correctRules : mutations[mutation];
   if (rules === undefined) throw new RangeError(`no mutation ${mutation}`);
   const history = fc.array(command, {
-    maxLength: LONGEST_HISTORY,
+    maxLength: MAXIMUM_HISTORY_COMMANDS,
     size: "max",
   });
   return Promise.resolve(
@@ -248,7 +267,7 @@
 export const claimsTarget: FuzzTarget = {
   name: "claims",
   mutations: Object.fromEntries(
-    Object.keys(mutants).map((name) => [name, MUTATION_LIMIT]),
+    Object.keys(mutations).map((name) => [name, MUTATION_HISTORY_LIMIT]),
   ),
   run,
 };
--- a/fuzz/claims/log.ts
+++ b/fuzz/claims/log.ts
@@ -1,14 +1,14 @@
-/** A log with the faults of the platform's: the claims target's only truth. */
+/** In-memory log of the claims target with the faults of the platform's log. */
 import type { LogRecord } from "../../src/internal.js";
 import type { VirtualTime } from "../virtual-time.js";
 
-const HOP_MS = 1;
+const NETWORK_DELAY_MS = 1;
 const MINIMUM_RETENTION_MS = 600_000;
 
 export interface AppendFaults {
-  /** The record lands, but its writer hears nothing. */
+  /** The record is stored, but the writer gets no answer. */
   readonly loseAnswer: boolean;
-  /** The record lands so much later. */
+  /** Additional time until the record is stored; no answer is sent then. */
   readonly delayMs: number;
   readonly duplicate: boolean;
 }
@@ -24,7 +24,7 @@
   readonly records: readonly LogRecord[];
 }
 
-const EMPTY: Stream = { startOffset: 0, records: [] };
+const EMPTY_STREAM: Stream = { startOffset: 0, records: [] };
 
 export class FuzzLog {
   isDown = false;
@@ -46,18 +46,18 @@
     onAnswer: (ok: boolean) => void,
   ): void {
     if (this.isDown) {
-      this.time.after(HOP_MS, () => {
+      this.time.after(NETWORK_DELAY_MS, () => {
         onAnswer(false);
       });
       return;
     }
     const { delayMs, loseAnswer, duplicate } = this.nextAppend;
     this.nextAppend = NO_FAULTS;
-    this.time.after(HOP_MS + delayMs, () => {
+    this.time.after(NETWORK_DELAY_MS + delayMs, () => {
       this.store(stream, data);
       if (duplicate) this.store(stream, data);
       if (!loseAnswer && delayMs === 0)
-        this.time.after(HOP_MS, () => {
+        this.time.after(NETWORK_DELAY_MS, () => {
           onAnswer(true);
         });
     });
@@ -67,12 +67,12 @@
     stream: number,
     from: number,
   ): { readonly startOffset: number; readonly records: readonly LogRecord[] } {
-    const { startOffset, records } = this.streams.get(stream) ?? EMPTY;
+    const { startOffset, records } = this.streams.get(stream) ?? EMPTY_STREAM;
     const first = Math.max(from - startOffset, 0);
     return { startOffset, records: records.slice(first) };
   }
 
-  /** Drops what is older than the retention. */
+  /** Drops records older than the retention time. */
   trim(): void {
     const limitMs = this.time.nowMs - MINIMUM_RETENTION_MS;
     for (const [name, { startOffset, records }] of this.streams) {
@@ -84,7 +84,7 @@
   }
 
   private store(name: number, data: Uint8Array): void {
-    const { startOffset, records } = this.streams.get(name) ?? EMPTY;
+    const { startOffset, records } = this.streams.get(name) ?? EMPTY_STREAM;
     const offset = startOffset + records.length;
     const record = { offset, appendedAtMs: this.time.nowMs, data };
     this.streams.set(name, { startOffset, records: [...records, record] });
--- a/fuzz/claims/world.ts
+++ b/fuzz/claims/simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Entries, agents and a log around the real claim machines, in virtual time.
- * The oracle is the engines' own record of starts and what callers were told.
+ * Simulates entries, agents and a log around the production claim code, in
+ * virtual time. Starts at the engines and outcomes returned to callers are
+ * recorded and checked against the invariants.
  */
 import {
   CLAIM_SHARDS,
@@ -11,14 +12,14 @@
   encodeClaimBatch,
   errorTable,
   ignoreEvents,
-  keyTime,
+  keyTimestampMs,
   shardOf,
   ClaimTable,
   type ClaimEffect,
   type ClaimEntry,
   type AgentEffect,
   type AttemptAnswer,
-  type AttemptKeeper,
+  type AttemptRegistry,
   type AttemptQuestion,
   type Call as SessionCall,
   type CoordinatorRules,
@@ -28,18 +29,21 @@
 import { FuzzLog } from "./log.js";
 
 const START_MS = 1_800_000_000_000;
-const HOP_MS = 1;
+const NETWORK_DELAY_MS = 1;
 const TICK_MS = 50;
-const WAIT_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 const APPENDS_PER_SECOND = 1_000;
 const ACCOUNT = "crews";
 export const ENTRIES = 3;
 export const AGENTS = 2;
 
-export interface WorldRules {
+export interface SimulationRules {
   readonly coordinator: CoordinatorRules;
-  /** What an agent tells of attempts; a mutation lies about them. */
-  readonly keeper: (gate: AgentGate, incarnation: string) => AttemptKeeper;
+  /** The attempt state that an agent answers from; mutations falsify it. */
+  readonly attemptRegistry: (
+    gate: AgentGate,
+    incarnation: string,
+  ) => AttemptRegistry;
 }
 
 interface Entry {
@@ -47,7 +51,7 @@
   readonly coordinator: ClaimCoordinator;
   incarnation: number;
   isPaused: boolean;
-  /** What arrived while it was paused. */
+  /** Inputs that arrived while the entry was paused. */
   inbox: (() => void)[];
 }
 
@@ -55,20 +59,20 @@
   readonly name: string;
   readonly incarnation: string;
   readonly gate: AgentGate;
-  /** Sessions that an entry's incarnation has opened. */
+  /** Number of sessions that each entry incarnation has opened. */
   readonly sessions: Map<string, number>;
   readonly isReachable: boolean;
   readonly isFull: boolean;
 }
 
-type Answer = (
+type Reply = (
   input: (coordinator: ClaimCoordinator) => readonly ClaimEffect[],
 ) => void;
 
-interface Dispatched {
+interface DispatchedAttempt {
   readonly call: string;
   readonly key: string;
-  readonly answer: Answer;
+  readonly reply: Reply;
 }
 
 interface Call {
@@ -78,32 +82,32 @@
   outcome: string | undefined;
 }
 
-export class ClaimsWorld {
+export class ClaimsSimulation {
   readonly time = VirtualTime.create(START_MS);
   readonly log: FuzzLog;
   readonly calls: Call[] = [];
   readonly violations: string[] = [];
-  /** Delay of the next dispatch, as if its sender were paused. */
+  /** Extra delay of the next dispatch, as if its sender were paused. */
   nextDispatchDelayMs = 0;
   private readonly entries: Entry[] = [];
   private readonly agents: Agent[] = [];
   private readonly starts = new Map<string, number>();
-  private readonly dispatched = new Map<string, Dispatched>();
-  private readonly toldNotRun = new Set<string>();
+  private readonly dispatchedAttempts = new Map<string, DispatchedAttempt>();
+  private readonly keysRefusedAsNotRun = new Set<string>();
   private ids = 0;
   private connections = 0;
-  private readSoon = false;
+  private isReadScheduled = false;
 
-  private constructor(private readonly rules: WorldRules) {
+  private constructor(private readonly rules: SimulationRules) {
     this.log = FuzzLog.create(this.time, () => {
       this.scheduleReads();
     });
-    for (let index = 0; index < ENTRIES; index += 1) this.bootEntry(index, 0);
-    for (let index = 0; index < AGENTS; index += 1) this.bootAgent(index);
+    for (let index = 0; index < ENTRIES; index += 1) this.startEntry(index, 0);
+    for (let index = 0; index < AGENTS; index += 1) this.startAgent(index);
   }
 
-  static create(rules: WorldRules): ClaimsWorld {
-    return new ClaimsWorld(rules);
+  static create(rules: SimulationRules): ClaimsSimulation {
+    return new ClaimsSimulation(rules);
   }
 
   newId(): string {
@@ -126,19 +130,19 @@
     this.calls.push(call);
     this.deliver(entryIndex, entry.incarnation, (coordinator) => {
       const nowMs = this.time.nowMs;
-      const madeAtMs = keyTime(call.key);
-      const age = checkKeyAge({ key: call.key, madeAtMs }, nowMs);
+      const createdAtMs = keyTimestampMs(call.key);
+      const age = checkKeyAge({ key: call.key, createdAtMs }, nowMs);
       if (age.isLeft()) {
         const error = age.swap().unsafeCoerce();
-        this.refuse(call, error.number);
+        this.recordRefusal(call, error.number);
         return [];
       }
       const identity = { account: ACCOUNT, key: call.key };
-      const giveUpAtMs = nowMs + WAIT_MS;
+      const giveUpAtMs = nowMs + CALL_TIMEOUT_MS;
       const request = { call: name, ...identity, isOwnKey, giveUpAtMs };
       return coordinator.begin(request, nowMs);
     });
-    this.tickLater(entryIndex, entry.incarnation);
+    this.scheduleTick(entryIndex, entry.incarnation);
   }
 
   pauseEntry(index: number): void {
@@ -161,12 +165,12 @@
       const isLost = call.entry === index && call.incarnation < incarnation;
       if (isLost) call.outcome ??= "connection lost";
     }
-    this.bootEntry(index, incarnation);
+    this.startEntry(index, incarnation);
     this.scheduleReads();
   }
 
   restartAgent(index: number): void {
-    this.bootAgent(index);
+    this.startAgent(index);
   }
 
   changeAgent(
@@ -182,15 +186,15 @@
     this.scheduleReads();
   }
 
-  /** Ends every fault and lets everything come to its end. */
-  calmDown(): void {
+  /** Ends all faults and runs until every call should have an outcome. */
+  endFaults(): void {
     this.setOutage(false);
     this.nextDispatchDelayMs = 0;
     for (let index = 0; index < ENTRIES; index += 1) this.resumeEntry(index);
     for (let index = 0; index < AGENTS; index += 1) {
       this.changeAgent(index, { isReachable: true, isFull: false });
     }
-    this.time.advance(3 * WAIT_MS);
+    this.time.advance(3 * CALL_TIMEOUT_MS);
   }
 
   hasStarted(key: string): boolean {
@@ -203,12 +207,13 @@
 
   check(): void {
     for (const [index, { outcome }] of this.calls.entries()) {
-      if (outcome === undefined) this.violate(`call ${index} has no outcome`);
+      if (outcome === undefined)
+        this.reportViolation(`call ${index} has no outcome`);
     }
     this.checkReaders();
   }
 
-  /** All readers of the log make the same of it. */
+  /** Checks that all readers of the log derive the same state. */
   private checkReaders(): void {
     const keys = new Set(this.calls.map(({ key }) => key));
     for (const key of keys) {
@@ -224,17 +229,19 @@
         const status = coordinator.statusOf(identity);
         if (status.kind === "incomplete") continue;
         if (JSON.stringify(status) !== JSON.stringify(fresh)) {
-          this.violate(`${name} differs from a fresh reader about ${key}`);
+          this.reportViolation(
+            `${name} differs from a fresh reader about ${key}`,
+          );
         }
       }
     }
   }
 
-  private violate(what: string): void {
-    this.violations.push(what);
+  private reportViolation(violation: string): void {
+    this.violations.push(violation);
   }
 
-  private bootEntry(index: number, incarnation: number): void {
+  private startEntry(index: number, incarnation: number): void {
     const name = `entry${index}`;
     this.entries[index] = {
       name,
@@ -253,7 +260,7 @@
     };
   }
 
-  private bootAgent(index: number): void {
+  private startAgent(index: number): void {
     const name = `agent${index}`;
     this.ids += 1;
     const incarnation = `${name}.${this.ids}`;
@@ -284,19 +291,19 @@
 
   private onAgentEffect(effect: AgentEffect): void {
     if (effect.kind === "start-run") {
-      const started = this.dispatched.get(effect.run);
+      const started = this.dispatchedAttempts.get(effect.run);
       if (started === undefined) return;
-      this.start(started.key);
-      this.time.after(HOP_MS, () => {
-        this.finish(started.call, "answered");
-        started.answer((c) => c.end(started.call, this.time.nowMs));
+      this.recordStart(started.key);
+      this.time.after(NETWORK_DELAY_MS, () => {
+        this.recordOutcome(started.call, "answered");
+        started.reply((c) => c.end(started.call, this.time.nowMs));
       });
     }
     if (effect.kind !== "send" || effect.frame.kind !== "refused") return;
-    const refused = this.dispatched.get(effect.frame.attempt);
+    const refused = this.dispatchedAttempts.get(effect.frame.attempt);
     if (refused === undefined) return;
-    this.time.after(HOP_MS, () => {
-      refused.answer((c) => c.onRefused(refused.call, this.time.nowMs));
+    this.time.after(NETWORK_DELAY_MS, () => {
+      refused.reply((c) => c.onRefused(refused.call, this.time.nowMs));
     });
   }
 
@@ -304,13 +311,13 @@
     entry: number,
   ): { agent: string; agentIncarnation: string } | undefined {
     const order = [entry % AGENTS, (entry + 1) % AGENTS];
-    const place = order.find((index) => this.agents[index].isReachable);
-    if (place === undefined) return undefined;
-    const agent = this.agents[place];
+    const agentIndex = order.find((index) => this.agents[index].isReachable);
+    if (agentIndex === undefined) return undefined;
+    const agent = this.agents[agentIndex];
     return { agent: agent.name, agentIncarnation: agent.incarnation };
   }
 
-  /** Hands an input to an entry, unless it was restarted since. */
+  /** Passes an input to an entry incarnation; dropped if it was restarted. */
   private deliver(
     index: number,
     incarnation: number,
@@ -325,26 +332,26 @@
       return;
     }
     for (const effect of input(entry.coordinator)) {
-      this.carryOut(index, incarnation, effect);
+      this.performEffect(index, incarnation, effect);
     }
   }
 
-  private carryOut(
+  private performEffect(
     index: number,
     incarnation: number,
     effect: ClaimEffect,
   ): void {
-    const answer: Answer = (input) => {
+    const reply: Reply = (input) => {
       this.deliver(index, incarnation, input);
     };
     switch (effect.kind) {
       case "append": {
         const { shard, batch } = effect;
         const data = encodeClaimBatch(batch);
-        this.log.append(shard, data, (isTaken) => {
+        this.log.append(shard, data, (isAppended) => {
           const nowMs = this.time.nowMs;
-          answer((coordinator) =>
-            isTaken
+          reply((coordinator) =>
+            isAppended
               ? coordinator.onAppendAnswered(shard, batch.nonce, nowMs)
               : coordinator.onAppendFailed(shard, batch.nonce, nowMs),
           );
@@ -352,35 +359,35 @@
         return;
       }
       case "dispatch":
-        this.dispatch(effect.call, effect.claim, answer);
+        this.dispatch(effect.call, effect.claim, reply);
         return;
       case "ask":
-        this.askAgent(effect, answer);
+        this.askAgent(effect, reply);
         return;
       case "attach":
-        this.finish(effect.call, "attached");
+        this.recordOutcome(effect.call, "attached");
         return;
       case "refuse": {
         const call = this.calls[Number(effect.call)];
-        this.refuse(call, effect.error);
+        this.recordRefusal(call, effect.error);
       }
     }
   }
 
-  private dispatch(call: string, claim: ClaimEntry, answer: Answer): void {
-    const delayMs = HOP_MS + this.nextDispatchDelayMs;
+  private dispatch(call: string, claim: ClaimEntry, reply: Reply): void {
+    const delayMs = NETWORK_DELAY_MS + this.nextDispatchDelayMs;
     this.nextDispatchDelayMs = 0;
     this.time.after(delayMs, () => {
       const agent = this.agents.find(({ name }) => name === claim.agent);
       const nowMs = this.time.nowMs;
       const { agentIncarnation, attempt } = claim;
-      // A session ends with its agent: no frame of it reaches the next one.
+      // A session ends with its agent, so no frame reaches the next incarnation.
       if (agent?.incarnation !== agentIncarnation || !agent.isReachable) {
-        this.finish(call, "unknown");
-        answer((coordinator) => coordinator.end(call, nowMs));
+        this.recordOutcome(call, "unknown");
+        reply((coordinator) => coordinator.end(call, nowMs));
         return;
       }
-      this.dispatched.set(attempt, { call, key: claim.key, answer });
+      this.dispatchedAttempts.set(attempt, { call, key: claim.key, reply });
       this.connections += 1;
       sendDispatch(agent, claim, call, this.connections, nowMs);
     });
@@ -388,62 +395,66 @@
 
   private askAgent(
     effect: Extract<ClaimEffect, { readonly kind: "ask" }>,
-    answer: Answer,
+    reply: Reply,
   ): void {
     const { call, claim, tombstone } = effect;
     const { attempt, agentIncarnation } = claim;
-    this.time.after(HOP_MS, () => {
+    this.time.after(NETWORK_DELAY_MS, () => {
       const agent = this.agents.find(({ name }) => name === claim.agent);
       const question = { agentIncarnation, attempt, tombstone };
-      const found = agent && this.knowledge(agent, question);
-      // A question may take effect although its answer is lost.
-      const isHeard = agent?.isReachable === true && found !== undefined;
-      const heard = isHeard ? found : ({ kind: "unreachable" } as const);
-      this.time.after(HOP_MS, () => {
-        answer((coordinator) =>
-          coordinator.onAgentAnswer(call, heard, this.time.nowMs),
+      const found = agent && this.answerQuery(agent, question);
+      // A query may take effect even if its answer is lost.
+      const isAnswered = agent?.isReachable === true && found !== undefined;
+      const answerReceived = isAnswered
+        ? found
+        : ({ kind: "unreachable" } as const);
+      this.time.after(NETWORK_DELAY_MS, () => {
+        reply((coordinator) =>
+          coordinator.onAgentAnswer(call, answerReceived, this.time.nowMs),
         );
       });
     });
   }
 
-  private knowledge(agent: Agent, question: AttemptQuestion): AttemptAnswer {
+  private answerQuery(agent: Agent, question: AttemptQuestion): AttemptAnswer {
     const { gate, incarnation } = agent;
     gate.tick(this.time.nowMs);
-    const keeper = this.rules.keeper(gate, incarnation);
-    return answerAboutAttempt(keeper, question, this.time.nowMs);
+    const registry = this.rules.attemptRegistry(gate, incarnation);
+    return answerAboutAttempt(registry, question, this.time.nowMs);
   }
 
-  private start(key: string): void {
+  private recordStart(key: string): void {
     const count = (this.starts.get(key) ?? 0) + 1;
     this.starts.set(key, count);
-    if (count > 1) this.violate(`${key} was started ${count} times`);
-    if (this.toldNotRun.has(key)) {
-      this.violate(`${key} was started after "not run"`);
+    if (count > 1) this.reportViolation(`${key} was started ${count} times`);
+    if (this.keysRefusedAsNotRun.has(key)) {
+      this.reportViolation(`${key} was started after "not run"`);
     }
   }
 
-  private refuse(call: Call, error: ErrorNumber): void {
+  private recordRefusal(call: Call, error: ErrorNumber): void {
     const { outcome } = errorTable[error];
     if (outcome === "not-run") {
-      this.toldNotRun.add(call.key);
+      this.keysRefusedAsNotRun.add(call.key);
       if (this.starts.has(call.key)) {
-        this.violate(`"not run" (${error}) of ${call.key}, which was started`);
+        this.reportViolation(
+          `"not run" (${error}) of ${call.key}, which was started`,
+        );
       }
     }
     call.outcome ??= `${error}`;
   }
 
-  private finish(call: string, outcome: string): void {
+  private recordOutcome(call: string, outcome: string): void {
     const known = this.calls[Number(call)];
     known.outcome ??= outcome;
   }
 
   private scheduleReads(): void {
-    if (this.readSoon) return;
-    this.readSoon = true;
-    this.time.after(HOP_MS, () => {
-      this.readSoon = false;
+    if (this.isReadScheduled) return;
+    this.isReadScheduled = true;
+    this.time.after(NETWORK_DELAY_MS, () => {
+      this.isReadScheduled = false;
       if (this.log.isDown) return;
       for (let index = 0; index < ENTRIES; index += 1) this.read(index);
     });
@@ -462,25 +473,25 @@
     }
   }
 
-  private tickLater(index: number, incarnation: number): void {
+  private scheduleTick(index: number, incarnation: number): void {
     this.time.after(TICK_MS, () => {
       const entry = this.entries[index];
       if (entry.incarnation !== incarnation) return;
       if (entry.isPaused) {
         entry.inbox.push(() => {
-          this.tickLater(index, incarnation);
+          this.scheduleTick(index, incarnation);
         });
         return;
       }
       this.deliver(index, incarnation, (coordinator) =>
         coordinator.tick(this.time.nowMs),
       );
-      if (!entry.coordinator.isIdle) this.tickLater(index, incarnation);
+      if (!entry.coordinator.isIdle) this.scheduleTick(index, incarnation);
     });
   }
 }
 
-/** Every dispatch travels on a session of its own, opened just before it. */
+/** Opens a new session for the dispatch and sends it. */
 function sendDispatch(
   { gate, sessions }: Agent,
   claim: ClaimEntry,
@@ -495,20 +506,20 @@
   const open = { ...session, dataCentre: "lac", release: "1" };
   gate.receive(connection, { kind: "open", ...open }, nowMs);
   const call: SessionCall = {
-    ...ANY_CALL,
+    ...CALL_TEMPLATE,
     request,
     account,
     idempotencyKey: key,
   };
-  const wanted = { deadlineMs: WAIT_MS, fromIndex: 0, resumeOf: "" };
+  const limits = { deadlineMs: CALL_TIMEOUT_MS, fromIndex: 0, resumeOf: "" };
   gate.receive(
     connection,
-    { kind: "dispatch", sequence: 1, attempt, call, ...wanted },
+    { kind: "dispatch", sequence: 1, attempt, call, ...limits },
     nowMs,
   );
 }
 
-const ANY_CALL = {
+const CALL_TEMPLATE = {
   method: "POST",
   path: "/services/orders",
   headers: [],
--- a/fuzz/expertmap-world.ts
+++ b/fuzz/expertmap-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Agents, engines, network and weight store of one group in virtual time, with
- * faults switched on and off from outside.
+ * Simulates the agents, engines, network and weight store of one group in
+ * virtual time, with fault injection.
  */
 import {
   createEvenMap,
@@ -29,20 +29,20 @@
 const BYTES_PER_EXPERT = 100;
 const SHAPE = { ranks: 3, layers: 1, experts: 4, slotsPerRank: 2 };
 
-export interface WorldSettings {
+export interface GroupSimulationSettings {
   readonly seed: number;
   readonly safeguards: GroupAgentSettings["safeguards"];
   readonly engineHolds: boolean;
 }
 
-const readOnly: EngineCall = { kind: "read", withMap: false };
+const readCall: EngineCall = { kind: "read", withMap: false };
 
-/** What happens at the moment when an agent gives a kind of order. */
-export interface Trap {
+/** Fault triggered when an agent next makes a given kind of engine call. */
+export interface CallFault {
   readonly member: string;
   readonly call: EngineCall["kind"];
   readonly act: "restartAgent" | "doubleAgent" | "pauseAgent" | "restartEngine";
-  /** Messages are lost and delayed from then on for a while. */
+  /** Whether messages are also lost and delayed for a while afterwards. */
   readonly lossy: boolean;
 }
 
@@ -51,37 +51,37 @@
   readonly agent: GroupAgent;
   pausedUntil: number;
   alive: boolean;
-  call: number;
+  callNumber: number;
 }
 
-/** A map that the group could be told to use. */
+/** One of several maps that can be proposed to the group. */
 export function candidateMap(choice: number): ExpertMap {
   const { version, shape, slots } = createEvenMap(SHAPE);
   const turn = (expert: number): number => (expert + choice) % SHAPE.experts;
   return { version, shape, slots: Array.from(slots).map(turn) };
 }
 
-export class World {
+export class GroupSimulation {
   now = 0;
-  /** Probability that a message is lost; others may come twice or late. */
+  /** Until this time messages may be lost, duplicated or delayed. */
   lossUntil = 0;
   slowCallsUntil = 0;
   storeDownUntil = 0;
   readonly steps: StepRecord[] = [];
   readonly violations: string[] = [];
-  /** Highest version known as committed while some engine remembered it. */
+  /** Highest committed version; reset once no engine remembers a map. */
   committedVersion = 0;
   private members: GroupMember[];
-  private readonly cut = new Map<string, number>();
+  private readonly cutLinks = new Map<string, number>();
   private readonly random: Random;
   private readonly engines: EngineGroup;
   private readonly agents = new Map<string, AgentProcess>();
-  private readonly zombies: AgentProcess[] = [];
-  private readonly due = new Map<number, (() => void)[]>();
-  private starts = 0;
-  private trap: Trap | undefined;
+  private readonly replacedAgents: AgentProcess[] = [];
+  private readonly tasksByTime = new Map<number, (() => void)[]>();
+  private agentStarts = 0;
+  private callFault: CallFault | undefined;
 
-  private constructor(private readonly settings: WorldSettings) {
+  private constructor(private readonly settings: GroupSimulationSettings) {
     this.random = createRandom(settings.seed);
     this.members = ["a", "b", "c"].map((member, rank) => ({
       member,
@@ -96,13 +96,13 @@
     });
   }
 
-  static create(settings: WorldSettings): World {
-    const world = new World(settings);
-    for (const { member } of world.members) {
-      world.engines.start(member);
-      world.startAgent(member);
+  static create(settings: GroupSimulationSettings): GroupSimulation {
+    const simulation = new GroupSimulation(settings);
+    for (const { member } of simulation.members) {
+      simulation.engines.start(member);
+      simulation.startAgent(member);
     }
-    return world;
+    return simulation;
   }
 
   get memberNames(): readonly string[] {
@@ -119,12 +119,12 @@
     process.agent.proposeMap(map, this.now + 1_500, this.now);
   }
 
-  setTrap(trap: Trap): void {
-    this.trap = trap;
+  setCallFault(callFault: CallFault): void {
+    this.callFault = callFault;
   }
 
   cutLink(from: string, to: string, until: number): void {
-    this.cut.set(`${from}>${to}`, until);
+    this.cutLinks.set(`${from}>${to}`, until);
   }
 
   pauseAgent(member: string, until: number): void {
@@ -132,11 +132,11 @@
     if (process !== undefined) process.pausedUntil = until;
   }
 
-  /** A new agent; the old one may go on for a while without knowing. */
+  /** Starts a new agent; the old one may keep running until the faults end. */
   restartAgent(member: string, oldGoesOn: boolean): void {
     const old = this.agents.get(member);
     if (old !== undefined) {
-      if (oldGoesOn) this.zombies.push(old);
+      if (oldGoesOn) this.replacedAgents.push(old);
       else old.alive = false;
     }
     this.startAgent(member);
@@ -148,54 +148,54 @@
 
   restartEngine(member: string): void {
     this.engines.start(member);
-    this.forgetWhenAllForgot();
+    this.resetCommittedVersion();
   }
 
-  /** Another backend server takes the rank of one that is gone for good. */
+  /** Replaces a member by a new backend server with the same rank. */
   replaceMember(index: number): void {
-    const gone = this.members.at(index);
-    if (gone === undefined) return;
-    const process = this.agents.get(gone.member);
+    const replaced = this.members.at(index);
+    if (replaced === undefined) return;
+    const process = this.agents.get(replaced.member);
     if (process !== undefined) process.alive = false;
-    this.agents.delete(gone.member);
-    this.engines.remove(gone.member);
-    const member = `${gone.member}'`;
+    this.agents.delete(replaced.member);
+    this.engines.remove(replaced.member);
+    const member = `${replaced.member}'`;
     this.members = this.members.map((item) =>
-      item === gone ? { member, ranks: item.ranks } : item,
+      item === replaced ? { member, ranks: item.ranks } : item,
     );
     this.engines.start(member);
     this.startAgent(member);
     for (const other of this.agents.values()) {
       other.agent.setMembers(this.members);
     }
-    this.forgetWhenAllForgot();
+    this.resetCommittedVersion();
   }
 
   endFaults(): void {
-    this.trap = undefined;
+    this.callFault = undefined;
     this.lossUntil = 0;
     this.slowCallsUntil = 0;
     this.storeDownUntil = 0;
-    this.cut.clear();
-    for (const zombie of this.zombies) zombie.alive = false;
+    this.cutLinks.clear();
+    for (const agent of this.replacedAgents) agent.alive = false;
     for (const process of this.agents.values()) process.pausedUntil = 0;
     for (const member of this.memberNames) this.engines.stall(member, 0);
   }
 
   engineStates(): readonly EngineMapState[] {
     return this.memberNames.flatMap((member) => {
-      const answer = this.engines.call(member, readOnly, this.now);
+      const answer = this.engines.call(member, readCall, this.now);
       return answer === undefined ? [] : [answer.answer.state];
     });
   }
 
   private startAgent(member: string): void {
-    this.starts += 1;
+    this.agentStarts += 1;
     const process: AgentProcess = {
       member,
       agent: GroupAgent.create({
         member,
-        agent: `${member}#${this.starts}`,
+        agent: `${member}#${this.agentStarts}`,
         initial: { version: 1, map: candidateMap(0) },
         fetch: {
           bytesPerExpert: BYTES_PER_EXPERT,
@@ -211,7 +211,7 @@
       }),
       pausedUntil: 0,
       alive: true,
-      call: 0,
+      callNumber: 0,
     };
     process.agent.setMembers(this.members);
     this.agents.set(member, process);
@@ -229,51 +229,52 @@
     }
   }
 
-  /** With every engine's memory lost, only the recorded map is left. */
-  private forgetWhenAllForgot(): void {
+  /** Once no engine remembers a map, the group may restart from the initial one. */
+  private resetCommittedVersion(): void {
     const states = this.engineStates();
     if (states.every(({ group }) => group === null)) this.committedVersion = 0;
   }
 
   private tick(): void {
     this.now += TICK_MS;
-    const tasks = this.due.get(this.now) ?? [];
-    this.due.delete(this.now);
+    const tasks = this.tasksByTime.get(this.now) ?? [];
+    this.tasksByTime.delete(this.now);
     for (const task of tasks) task();
     this.engines.advance(this.now);
-    for (const process of [...this.agents.values(), ...this.zombies]) {
-      this.input(process, (agent) => agent.tick(this.now));
+    for (const process of [...this.agents.values(), ...this.replacedAgents]) {
+      this.runAgent(process, (agent) => agent.tick(this.now));
     }
   }
 
   private after(ticks: number, task: () => void): void {
     const at = this.now + Math.max(1, ticks) * TICK_MS;
-    const tasks = this.due.get(at);
-    if (tasks === undefined) this.due.set(at, [task]);
+    const tasks = this.tasksByTime.get(at);
+    if (tasks === undefined) this.tasksByTime.set(at, [task]);
     else tasks.push(task);
   }
 
-  /** A paused process takes its inputs up when it goes on. */
-  private input(
+  /** Runs an agent and performs its effects, unless it is dead or paused. */
+  private runAgent(
     process: AgentProcess,
-    give: (agent: GroupAgent) => readonly MapEffect[],
+    input: (agent: GroupAgent) => readonly MapEffect[],
   ): void {
     if (!process.alive || process.pausedUntil > this.now) return;
-    for (const effect of give(process.agent)) this.carryOut(process, effect);
+    for (const effect of input(process.agent))
+      this.performEffect(process, effect);
   }
 
-  private whenAwake(
+  private runAgentWhenResumed(
     process: AgentProcess,
-    give: (agent: GroupAgent) => readonly MapEffect[],
+    input: (agent: GroupAgent) => readonly MapEffect[],
   ): void {
-    if (process.pausedUntil <= this.now) this.input(process, give);
+    if (process.pausedUntil <= this.now) this.runAgent(process, input);
     else
       this.after(10, () => {
-        this.whenAwake(process, give);
+        this.runAgentWhenResumed(process, input);
       });
   }
 
-  private carryOut(process: AgentProcess, effect: MapEffect): void {
+  private performEffect(process: AgentProcess, effect: MapEffect): void {
     if (effect.kind === "send") this.transmit(process, effect);
     if (effect.kind === "engine") this.callEngine(process, effect.call);
     if (effect.kind === "fetch") this.fetchPart(process, effect);
@@ -283,17 +284,17 @@
     from: AgentProcess,
     { to, message }: { readonly to: string; readonly message: MapMessage },
   ): void {
-    const cutUntil = this.cut.get(`${from.member}>${to}`) ?? 0;
+    const cutUntil = this.cutLinks.get(`${from.member}>${to}`) ?? 0;
     if (cutUntil > this.now) return;
-    const faulty = this.lossUntil > this.now;
-    if (faulty && this.random() < 0.4) return;
-    const copies = faulty && this.random() < 0.3 ? 2 : 1;
+    const isFaulty = this.lossUntil > this.now;
+    if (isFaulty && this.random() < 0.4) return;
+    const copies = isFaulty && this.random() < 0.3 ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
-      const delay = faulty ? randomBelow(this.random, 30) : 1;
+      const delay = isFaulty ? randomBelow(this.random, 30) : 1;
       this.after(delay, () => {
         const target = this.agents.get(to);
         if (target === undefined) return;
-        this.whenAwake(target, (agent) =>
+        this.runAgentWhenResumed(target, (agent) =>
           agent.receive(from.member, message, this.now),
         );
       });
@@ -301,38 +302,38 @@
   }
 
   private callEngine(process: AgentProcess, call: EngineCall): void {
-    const trapped = this.springTrap(process, call);
-    const slow = trapped || this.slowCallsUntil > this.now;
-    const number = (process.call += 1);
-    const delay = slow ? randomBelow(this.random, 60) : 1;
-    const answerLost = slow && this.random() < 0.3;
-    const settle = (
-      give: (agent: GroupAgent) => readonly MapEffect[],
+    const isTriggered = this.triggerCallFault(process, call);
+    const isSlow = isTriggered || this.slowCallsUntil > this.now;
+    const number = (process.callNumber += 1);
+    const delay = isSlow ? randomBelow(this.random, 60) : 1;
+    const isAnswerLost = isSlow && this.random() < 0.3;
+    const finishCall = (
+      input: (agent: GroupAgent) => readonly MapEffect[],
     ): void => {
-      this.whenAwake(process, (agent) => {
-        if (process.call !== number) return [];
-        process.call += 1;
-        return give(agent);
+      this.runAgentWhenResumed(process, (agent) => {
+        if (process.callNumber !== number) return [];
+        process.callNumber += 1;
+        return input(agent);
       });
     };
-    // The order takes effect even when nobody waits for its answer any more.
+    // The call takes effect even if the agent no longer waits for its answer.
     this.after(delay, () => {
       const result = this.engines.call(process.member, call, this.now);
-      if (answerLost || result === undefined) return;
-      settle((agent) => agent.engineAnswered(result.answer, this.now));
+      if (isAnswerLost || result === undefined) return;
+      finishCall((agent) => agent.engineAnswered(result.answer, this.now));
     });
     this.after(CALL_TIMEOUT_TICKS, () => {
-      settle((agent) => agent.engineFailed(this.now));
+      finishCall((agent) => agent.engineFailed(this.now));
     });
   }
 
-  private springTrap(process: AgentProcess, call: EngineCall): boolean {
-    const { trap } = this;
-    if (trap?.member !== process.member || trap.call !== call.kind) {
+  private triggerCallFault(process: AgentProcess, call: EngineCall): boolean {
+    const { callFault } = this;
+    if (callFault?.member !== process.member || callFault.call !== call.kind) {
       return false;
     }
-    this.trap = undefined;
-    const { member, act, lossy } = trap;
+    this.callFault = undefined;
+    const { member, act, lossy } = callFault;
     if (lossy) this.lossUntil = this.now + 800;
     if (act === "restartEngine")
       this.after(2, () => {
@@ -349,11 +350,11 @@
   ): void {
     this.after(1, () => {
       const { weight, offset, length } = part;
-      const down = this.storeDownUntil > this.now;
-      const held = down
+      const isDown = this.storeDownUntil > this.now;
+      const held = isDown
         ? undefined
         : this.engines.putWeight(process.member, weight, offset, length);
-      this.whenAwake(process, (agent) =>
+      this.runAgentWhenResumed(process, (agent) =>
         held === undefined
           ? agent.partFailed(part, 0, this.now)
           : agent.partArrived(part, held, this.now),
--- a/fuzz/expertmap.ts
+++ b/fuzz/expertmap.ts
@@ -1,13 +1,19 @@
 /**
  * Fuzz target `expertmap`: one group under faults.
  *
- * Oracle: the engines' own record of steps. All ranks of an incarnation used
- * one map in every step; the version never falls behind a committed one; and
- * once faults stop, every rank steps on with nothing left undecided.
+ * Invariants, checked on the steps recorded by the engines: all ranks of an
+ * incarnation use one map in every step; the version never falls below a
+ * committed one; and once the faults end, every rank continues to step and no
+ * proposal stays undecided.
  */
 import fc from "fast-check";
 import { allSwitchSafeguards, ballotKey } from "../src/internal.js";
-import { candidateMap, TICK_MS, World, type Trap } from "./expertmap-world.js";
+import {
+  candidateMap,
+  TICK_MS,
+  GroupSimulation,
+  type CallFault,
+} from "./expertmap-simulation.js";
 import { runJudged } from "./run-judged.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
@@ -34,8 +40,8 @@
   | {
       readonly kind: "trap";
       readonly member: number;
-      readonly call: Trap["call"];
-      readonly act: Trap["act"];
+      readonly call: CallFault["call"];
+      readonly act: CallFault["act"];
       readonly lossy: boolean;
     };
 
@@ -50,17 +56,17 @@
   readonly steps: readonly Step[];
 }
 
-/** The group forms within this time when nothing goes wrong. */
+/** The group forms within this time if there are no faults. */
 const START_TICKS = 120;
-/** Once faults stop, the group must step on within this time. */
+/** Once the faults end, the group must recover within this time. */
 const RECOVERY_TICKS = 800;
 const SETTLE_TICKS = 50;
-const MUST_STEP = 10;
+const MINIMUM_RECOVERY_STEPS = 10;
 
 const member = fc.nat({ max: 2 });
 const ticks = fc.integer({ min: 1, max: 120 });
 
-const trapCalls: readonly Trap["call"][] = [
+const faultableCalls: readonly CallFault["call"][] = [
   "stage",
   "arm",
   "arm",
@@ -71,7 +77,7 @@
   "seal",
   "join",
 ];
-const trapActs: readonly Trap["act"][] = [
+const callFaultActions: readonly CallFault["act"][] = [
   "restartAgent",
   "doubleAgent",
   "pauseAgent",
@@ -110,8 +116,8 @@
     arbitrary: fc.record({
       kind: fc.constant("trap" as const),
       member,
-      call: fc.constantFrom(...trapCalls),
-      act: fc.constantFrom(...trapActs),
+      call: fc.constantFrom(...faultableCalls),
+      act: fc.constantFrom(...callFaultActions),
       lossy: fc.boolean(),
     }),
   },
@@ -125,66 +131,66 @@
   }),
 });
 
-function inject(world: World, fault: Fault): void {
-  const name = (index: number): string => world.memberNames[index] ?? "";
-  const until = (ticks: number): number => world.now + ticks * TICK_MS;
+function inject(simulation: GroupSimulation, fault: Fault): void {
+  const name = (index: number): string => simulation.memberNames[index] ?? "";
+  const until = (ticks: number): number => simulation.now + ticks * TICK_MS;
   switch (fault.kind) {
     case "propose":
-      world.propose(name(fault.member), candidateMap(fault.map));
+      simulation.propose(name(fault.member), candidateMap(fault.map));
       return;
     case "network":
-      world.lossUntil = until(fault.ticks);
+      simulation.lossUntil = until(fault.ticks);
       return;
     case "calls":
-      world.slowCallsUntil = until(fault.ticks);
+      simulation.slowCallsUntil = until(fault.ticks);
       return;
     case "store":
-      world.storeDownUntil = until(fault.ticks);
+      simulation.storeDownUntil = until(fault.ticks);
       return;
     case "cut":
-      world.cutLink(name(fault.from), name(fault.to), until(fault.ticks));
+      simulation.cutLink(name(fault.from), name(fault.to), until(fault.ticks));
       return;
     case "pause":
-      world.pauseAgent(name(fault.member), until(fault.ticks));
+      simulation.pauseAgent(name(fault.member), until(fault.ticks));
       return;
     case "restartAgent":
-      world.restartAgent(name(fault.member), fault.oldGoesOn);
+      simulation.restartAgent(name(fault.member), fault.oldGoesOn);
       return;
     case "stall":
-      world.stallEngine(name(fault.member), until(fault.ticks));
+      simulation.stallEngine(name(fault.member), until(fault.ticks));
       return;
     case "restartEngine":
-      world.restartEngine(name(fault.member));
+      simulation.restartEngine(name(fault.member));
       return;
     case "replace":
-      world.replaceMember(fault.member);
+      simulation.replaceMember(fault.member);
       return;
     case "trap":
-      world.setTrap({ ...fault, member: name(fault.member) });
+      simulation.setCallFault({ ...fault, member: name(fault.member) });
       return;
   }
 }
 
-function mixedSteps(world: World): readonly string[] {
+function mixedSteps(simulation: GroupSimulation): readonly string[] {
   const maps = new Map<string, string>();
-  return world.steps.flatMap(({ group, step, member: rank, mapHash }) => {
+  return simulation.steps.flatMap(({ group, step, member: name, mapHash }) => {
     const key = `${ballotKey(group)}/${step}`;
     const first = maps.get(key);
     if (first === undefined) maps.set(key, mapHash);
     const mixed = first !== undefined && first !== mapHash;
-    return mixed ? [`${rank} ran ${key} on ${mapHash}, others ${first}`] : [];
+    return mixed ? [`${name} ran ${key} on ${mapHash}, others ${first}`] : [];
   });
 }
 
-/** Runs on for a while; tells what isn't as it must be at its end. */
-function recoveryFailures(world: World): readonly string[] {
-  const before = world.engineStates().map(({ step }) => step);
-  world.run(SETTLE_TICKS);
-  const states = world.engineStates();
+/** Runs for a while and returns what hasn't recovered at the end. */
+function recoveryFailures(simulation: GroupSimulation): readonly string[] {
+  const before = simulation.engineStates().map(({ step }) => step);
+  simulation.run(SETTLE_TICKS);
+  const states = simulation.engineStates();
   return states.flatMap((state, index) => {
     const stepped = state.step - (before[index] ?? 0);
     const found: string[] = [];
-    if (stepped < MUST_STEP) {
+    if (stepped < MINIMUM_RECOVERY_STEPS) {
       const text = JSON.stringify(state);
       found.push(`${state.engine} made ${stepped} steps: ${text}`);
     }
@@ -192,26 +198,28 @@
       const { id } = state.armed.proposal;
       found.push(`${state.engine} is undecided on ${ballotKey(id)}`);
     }
-    if (state.version < world.committedVersion) {
-      const lost = world.committedVersion;
-      found.push(`${state.engine} is at ${state.version}, ${lost} is lost`);
+    if (state.version < simulation.committedVersion) {
+      const committed = simulation.committedVersion;
+      found.push(
+        `${state.engine} is at version ${state.version}, below committed version ${committed}`,
+      );
     }
     return found;
   });
 }
 
-function awaitRecovery(world: World): readonly string[] {
-  let failures = recoveryFailures(world);
+function awaitRecovery(simulation: GroupSimulation): readonly string[] {
+  let failures = recoveryFailures(simulation);
   for (let waited = 0; waited < RECOVERY_TICKS; waited += SETTLE_TICKS) {
     if (failures.length === 0) return failures;
-    failures = recoveryFailures(world);
+    failures = recoveryFailures(simulation);
   }
   return failures;
 }
 
-/** Plays a history; returns what the oracle found. */
+/** Runs a history and returns the violations found. */
 export function judge(input: History, mutation?: string): string[] {
-  const world = World.create({
+  const simulation = GroupSimulation.create({
     seed: input.seed,
     safeguards: {
       ...allSwitchSafeguards,
@@ -220,14 +228,14 @@
     },
     engineHolds: mutation !== "engineHolds",
   });
-  world.run(START_TICKS);
+  simulation.run(START_TICKS);
   for (const { fault: next, wait } of input.steps) {
-    inject(world, next);
-    world.run(wait);
+    inject(simulation, next);
+    simulation.run(wait);
   }
-  world.endFaults();
-  const failures = awaitRecovery(world);
-  return [...mixedSteps(world), ...world.violations, ...failures];
+  simulation.endFaults();
+  const failures = awaitRecovery(simulation);
+  return [...mixedSteps(simulation), ...simulation.violations, ...failures];
 }
 
 function run(settings: FuzzSettings): Promise<FuzzResult> {
--- a/src/claims/abandoned.ts
+++ b/src/claims/abandoned.ts
@@ -1,17 +1,18 @@
 /**
- * Own claims whose calls were given up while the append was under way. It may
- * land at any time; the attempt is never dispatched then, but released.
+ * This entry's claims whose calls ended before the claim was read back. The
+ * append may still take effect; if it does, the claim is released and its
+ * attempt is never dispatched.
  */
-import { KEY_WINDOW_MS, keyTime } from "./keys.js";
+import { KEY_WINDOW_MS, keyTimestampMs } from "./keys.js";
 
-/** Abandoned claims whose append may still land; the oldest go first. */
-const MAXIMUM_ABANDONED = 10_000;
+/** Above this number the oldest abandoned claims are dropped. */
+const MAXIMUM_ABANDONED_CLAIMS = 10_000;
 
 export class AbandonedClaims {
   private readonly attempts = new Set<string>();
 
   private constructor() {
-    // made by create
+    // Instances come from create().
   }
 
   static create(): AbandonedClaims {
@@ -19,23 +20,24 @@
   }
 
   add(attempt: string, nowMs: number): void {
-    this.forgetExpired(nowMs);
+    this.removeExpired(nowMs);
     this.attempts.add(attempt);
   }
 
-  /** Whether the attempt was abandoned; it is told once. */
-  take(attempt: string): boolean {
+  /** Whether the attempt was abandoned; true only once for each attempt. */
+  remove(attempt: string): boolean {
     return this.attempts.delete(attempt);
   }
 
   /**
-   * A claim outside the window is void wherever it lands. One that is dropped
-   * for want of room costs its repeat a question to the agent, no more.
+   * A claim that is appended outside the key window never wins, so it needs no
+   * release. A claim dropped for lack of space isn't released; a repeat of its
+   * call then has to query the agent first.
    */
-  private forgetExpired(nowMs: number): void {
+  private removeExpired(nowMs: number): void {
     for (const attempt of this.attempts) {
-      const isRecent = nowMs - keyTime(attempt) < KEY_WINDOW_MS;
-      if (isRecent && this.attempts.size < MAXIMUM_ABANDONED) return;
+      const isRecent = nowMs - keyTimestampMs(attempt) < KEY_WINDOW_MS;
+      if (isRecent && this.attempts.size < MAXIMUM_ABANDONED_CLAIMS) return;
       this.attempts.delete(attempt);
     }
   }
--- a/src/claims/append-schedule.ts
+++ b/src/claims/append-schedule.ts
@@ -1,6 +1,7 @@
 /**
- * Appends of one entry over all shards, within its part of what the log takes.
- * Shards take turns, so that a busy one doesn't keep the others waiting.
+ * Limits the appends of one entry, over all shards, to its share of the log's
+ * append rate. Shards are served round-robin so that a busy shard can't starve
+ * the others.
  */
 import { ClaimBatcher } from "./batcher.js";
 import { CLAIM_SHARDS } from "./keys.js";
@@ -15,19 +16,19 @@
 
 export class AppendSchedule {
   private readonly batchers: readonly ClaimBatcher[];
-  /** Appends that may be made at once; refilled at the entry's rate. */
-  private allowance = CLAIM_SHARDS;
+  /** Token bucket of appends, refilled at `appendsPerSecond`. */
+  private availableAppends = CLAIM_SHARDS;
   private refilledAtMs = Number.NEGATIVE_INFINITY;
   private nextShard = 0;
-  private batches = 0;
+  private batchCount = 0;
 
   private constructor(
     incarnation: string,
     private readonly appendsPerSecond: number,
   ) {
     const newNonce = (): string => {
-      this.batches += 1;
-      return `${incarnation}-${this.batches}`;
+      this.batchCount += 1;
+      return `${incarnation}-${this.batchCount}`;
     };
     this.batchers = Array.from({ length: CLAIM_SHARDS }, () =>
       ClaimBatcher.create(newNonce),
@@ -62,26 +63,29 @@
     this.batchers[shard].onRead(entry);
   }
 
-  /** The next batch to append now, if any. */
-  take(nowMs: number): ShardBatch | undefined {
-    this.refill(nowMs);
-    if (this.allowance < 1) return undefined;
+  /** The next batch to append, or undefined if none is due. */
+  nextBatch(nowMs: number): ShardBatch | undefined {
+    this.refillAppends(nowMs);
+    if (this.availableAppends < 1) return undefined;
     for (let turn = 0; turn < CLAIM_SHARDS; turn += 1) {
       const shard = (this.nextShard + turn) % CLAIM_SHARDS;
-      const batch = this.batchers[shard].take(nowMs);
+      const batch = this.batchers[shard].nextBatch(nowMs);
       if (batch === undefined) continue;
       this.nextShard = (shard + 1) % CLAIM_SHARDS;
-      this.allowance -= 1;
+      this.availableAppends -= 1;
       return { shard, batch };
     }
     return undefined;
   }
 
-  /** A call that comes alone is appended at once, whichever shard it is of. */
-  private refill(nowMs: number): void {
+  /** The bucket holds one append per shard: a lone call never waits for it. */
+  private refillAppends(nowMs: number): void {
     const sinceMs = Math.max(nowMs - this.refilledAtMs, 0);
     const gained = (sinceMs / MS_PER_SECOND) * this.appendsPerSecond;
-    this.allowance = Math.min(CLAIM_SHARDS, this.allowance + gained);
+    this.availableAppends = Math.min(
+      CLAIM_SHARDS,
+      this.availableAppends + gained,
+    );
     this.refilledAtMs = nowMs;
   }
 }
--- a/src/claims/attempt-answer.ts
+++ b/src/claims/attempt-answer.ts
@@ -1,28 +1,31 @@
-/** What an agent's gate lets an entry know that repeats a call. */
+/** Answers an entry's query about an attempt of a repeated call. */
 import type { AttemptState } from "../internal.js";
 import type { AttemptAnswer } from "./types.js";
 
-/** Which attempt an entry asks for. */
+/** An entry's query about one attempt. */
 export interface AttemptQuestion {
   readonly agentIncarnation: string;
   readonly attempt: string;
-  /** Whether an attempt that has not started is to be ruled out. */
+  /** Whether an attempt that hasn't started must be prevented from starting. */
   readonly tombstone: boolean;
 }
 
-/** The part of the agent's gate that knows attempts. */
-export interface AttemptKeeper {
+/** The attempt state of the agent's gate. */
+export interface AttemptRegistry {
   find(attempt: string, agentIncarnation: string): AttemptState;
-  /** Whether the attempt can never start from now on. */
+  /**
+   * Prevents an attempt that hasn't started from starting; false if that can't
+   * be guaranteed.
+   */
   withdraw(attempt: string, agentIncarnation: string, nowMs: number): boolean;
 }
 
 export function answerAboutAttempt(
-  keeper: AttemptKeeper,
+  registry: AttemptRegistry,
   { attempt, agentIncarnation, tombstone }: AttemptQuestion,
   nowMs: number,
 ): AttemptAnswer {
-  switch (keeper.find(attempt, agentIncarnation)) {
+  switch (registry.find(attempt, agentIncarnation)) {
     case "running":
     case "ended":
       return { kind: "started" };
@@ -34,7 +37,7 @@
       return { kind: "tombstoned" };
     case "unknown":
       if (!tombstone) return { kind: "waiting" };
-      return keeper.withdraw(attempt, agentIncarnation, nowMs)
+      return registry.withdraw(attempt, agentIncarnation, nowMs)
         ? { kind: "tombstoned" }
         : { kind: "forgotten" };
   }
--- a/src/claims/batcher.ts
+++ b/src/claims/batcher.ts
@@ -1,19 +1,19 @@
 /**
- * Group commit for one shard: what comes up while an append is under way goes
- * with the next one, so the log's appends don't grow with the claims. Made for
- * a log that takes several hundred appends a second in all; an append for each
- * claim would use that up at a few hundred calls a second.
+ * Group commit for one shard: entries added while an append is in flight go
+ * into the next batch, so the append rate doesn't grow with the claim rate. The
+ * log takes several hundred appends per second in total; one append per claim
+ * would exhaust that at a few hundred calls per second.
  */
 import type { ClaimBatch, ClaimLogEntry } from "./types.js";
 
-/** Keeps a record below 200 kB. */
+/** Keeps a log record below 200 kB. */
 const MAXIMUM_BATCH_ENTRIES = 500;
 
-/** An append that says nothing for so long is made again. */
+/** An append without an answer is retried after this time. */
 const APPEND_TIMEOUT_MS = 500;
 
-/** After a failure, so that an outage isn't answered by a storm. */
-const RETRY_PAUSE_MS = 100;
+/** Wait after a failed append; prevents a retry storm during an outage. */
+const RETRY_BACKOFF_MS = 100;
 
 interface InFlight {
   readonly batch: ClaimBatch;
@@ -23,7 +23,7 @@
 export class ClaimBatcher {
   private queue: ClaimLogEntry[] = [];
   private inFlight: InFlight | undefined;
-  private notBeforeMs = Number.NEGATIVE_INFINITY;
+  private nextAppendAtMs = Number.NEGATIVE_INFINITY;
 
   private constructor(private readonly newNonce: () => string) {}
 
@@ -39,7 +39,7 @@
     this.queue.push(...entries);
   }
 
-  /** Gives up what was not sent or has to be sent again. */
+  /** Removes the attempt from the queue and from what a retry would send. */
   withdraw(attempt: string): void {
     this.queue = this.queue.filter((entry) => entry.attempt !== attempt);
     if (this.inFlight === undefined) return;
@@ -48,10 +48,10 @@
     this.inFlight = { ...this.inFlight, batch: { ...batch, entries } };
   }
 
-  /** The next batch, if one may be appended now. */
-  take(nowMs: number): ClaimBatch | undefined {
-    this.expire(nowMs);
-    if (this.inFlight !== undefined || nowMs < this.notBeforeMs) {
+  /** The next batch, or undefined if none may be appended now. */
+  nextBatch(nowMs: number): ClaimBatch | undefined {
+    this.failTimedOutAppend(nowMs);
+    if (this.inFlight !== undefined || nowMs < this.nextAppendAtMs) {
       return undefined;
     }
     if (this.queue.length === 0) return undefined;
@@ -66,36 +66,37 @@
     return batch;
   }
 
-  /** The append was answered; what it came to is learnt by reading. */
+  /** The append was answered; which claims won is known only by reading. */
   onAnswered(nonce: string): void {
     if (this.inFlight?.batch.nonce === nonce) this.inFlight = undefined;
   }
 
   /**
-   * The append failed, or its answer was lost after it took effect. Appending
-   * again is harmless: a copy meets the claim that the first one made.
+   * The append failed, or it took effect and its answer was lost. A second
+   * append is harmless: a copy of a claim that already won changes nothing.
    */
   onFailed(nonce: string, nowMs: number): void {
     if (this.inFlight?.batch.nonce !== nonce) return;
     this.queue = [...this.inFlight.batch.entries, ...this.queue];
     this.inFlight = undefined;
-    this.notBeforeMs = nowMs + RETRY_PAUSE_MS;
+    this.nextAppendAtMs = nowMs + RETRY_BACKOFF_MS;
   }
 
-  /** The entry was read back, so that it needs no further append. */
+  /** The entry was read back and needs no retry. */
   onRead(entry: ClaimLogEntry): void {
-    this.queue = this.queue.filter((queued) => !isSame(queued, entry));
+    this.queue = this.queue.filter((queued) => !isSameEntry(queued, entry));
     if (this.inFlight === undefined) return;
     const { batch } = this.inFlight;
-    const entries = batch.entries.filter((item) => !isSame(item, entry));
-    // All read back: the append took effect, whatever became of its answer.
+    const entries = batch.entries.filter((item) => !isSameEntry(item, entry));
+    // With every entry read back, the append took effect even if its answer
+    // was lost.
     this.inFlight =
       entries.length === 0
         ? undefined
         : { ...this.inFlight, batch: { ...batch, entries } };
   }
 
-  private expire(nowMs: number): void {
+  private failTimedOutAppend(nowMs: number): void {
     const { inFlight } = this;
     if (inFlight === undefined) return;
     if (nowMs - inFlight.sentAtMs < APPEND_TIMEOUT_MS) return;
@@ -103,6 +104,6 @@
   }
 }
 
-function isSame(a: ClaimLogEntry, b: ClaimLogEntry): boolean {
+function isSameEntry(a: ClaimLogEntry, b: ClaimLogEntry): boolean {
   return a.kind === b.kind && a.attempt === b.attempt;
 }
--- a/src/claims/calls.ts
+++ b/src/claims/calls.ts
@@ -1,18 +1,18 @@
-/** The calls that an entry has under way, by name and by awaited attempt. */
+/** The pending calls of an entry, by call id and by awaited attempt. */
 import type { CallState, Phase } from "./coordinator-types.js";
 import type { ClaimRequest } from "./types.js";
 
-export class ClaimCalls {
+export class PendingCalls {
   private readonly states = new Map<string, CallState>();
-  /** Own attempts that wait for their reading, to the call's name. */
-  private readonly attempts = new Map<string, string>();
+  /** Call id of each own attempt whose claim or close isn't read back yet. */
+  private readonly callsByAttempt = new Map<string, string>();
 
   private constructor() {
-    // made by create
+    // Instances come from create().
   }
 
-  static create(): ClaimCalls {
-    return new ClaimCalls();
+  static create(): PendingCalls {
+    return new PendingCalls();
   }
 
   get size(): number {
@@ -27,13 +27,16 @@
     return this.states.get(call);
   }
 
-  /** The call that waits for a record about this attempt. */
+  /** The call that waits for a claim or close record of this attempt. */
   byAttempt(attempt: string): CallState | undefined {
-    return this.states.get(this.attempts.get(attempt) ?? "");
+    return this.states.get(this.callsByAttempt.get(attempt) ?? "");
   }
 
-  /** Moves a call on; how long it has waited for an attempt is kept. */
-  move(
+  /**
+   * Puts a call into a phase. The wait start is kept while the call waits for
+   * the same attempt.
+   */
+  setPhase(
     request: ClaimRequest,
     phase: Phase,
     nowMs: number,
@@ -41,10 +44,11 @@
   ): CallState {
     const { call } = request;
     const known = this.states.get(call);
-    if (known !== undefined) this.attempts.delete(known.phase.claim.attempt);
+    if (known !== undefined)
+      this.callsByAttempt.delete(known.phase.claim.attempt);
     const { attempt } = phase.claim;
     if (phase.kind === "claiming" || phase.kind === "closing") {
-      this.attempts.set(attempt, call);
+      this.callsByAttempt.set(attempt, call);
     }
     const awaited =
       known?.awaited.attempt === attempt
@@ -63,7 +67,7 @@
   delete(call: string): void {
     const known = this.states.get(call);
     if (known === undefined) return;
-    this.attempts.delete(known.phase.claim.attempt);
+    this.callsByAttempt.delete(known.phase.claim.attempt);
     this.states.delete(call);
   }
 }
--- a/src/claims/codec.ts
+++ b/src/claims/codec.ts
@@ -1,31 +1,35 @@
-/** Claim batches as records of the log. */
+/** Encodes and decodes claim batches as log records. */
 import { z } from "zod";
 import type { ClaimBatch } from "./types.js";
 
-const text = z.string().min(1).max(200);
-const identity = { account: text, key: text, generation: z.int().min(1) };
+const shortText = z.string().min(1).max(200);
+const claimIdentity = {
+  account: shortText,
+  key: shortText,
+  generation: z.int().min(1),
+};
 
 const claimSchema = z.object({
   kind: z.literal("claim"),
-  ...identity,
-  attempt: text,
-  entry: text,
-  entryIncarnation: text,
-  agent: text,
-  agentIncarnation: text,
+  ...claimIdentity,
+  attempt: shortText,
+  entry: shortText,
+  entryIncarnation: shortText,
+  agent: shortText,
+  agentIncarnation: shortText,
 });
 
 const releaseSchema = z.object({
   kind: z.literal("release"),
-  ...identity,
-  attempt: text,
+  ...claimIdentity,
+  attempt: shortText,
   proof: z.enum(["tombstone", "refused", "not-dispatched"]),
 });
 
 const closeSchema = z.object({
   kind: z.literal("close"),
-  ...identity,
-  attempt: text,
+  ...claimIdentity,
+  attempt: shortText,
 });
 
 const entrySchema = z.discriminatedUnion("kind", [
@@ -36,11 +40,11 @@
 
 const batchSchema = z.object({
   kind: z.literal("claims"),
-  nonce: text,
+  nonce: shortText,
   entries: z.array(entrySchema),
 });
 
-/** Nothing for a record that isn't a claim batch; it claims nothing then. */
+/** Undefined for a record that isn't a claim batch; readers skip it. */
 export function decodeClaimBatch(data: Uint8Array): ClaimBatch | undefined {
   try {
     const json: unknown = JSON.parse(new TextDecoder().decode(data));
--- a/src/claims/coordinator-types.ts
+++ b/src/claims/coordinator-types.ts
@@ -1,40 +1,40 @@
-/** Settings and states of the claim coordinator. */
+/** Settings and call states of the claim coordinator. */
 import type { Emit } from "../internal.js";
 import { claimRules, type ClaimRules } from "./table.js";
 import type { AgentChoice, ClaimEntry, ClaimRequest } from "./types.js";
 
-/** Decisions that tests switch off one at a time. */
+/** Safety rules; the fuzzer disables them one at a time. */
 export interface CoordinatorRules {
   readonly table: ClaimRules;
-  /** Dispatch only after the claim was read back. */
-  readonly awaitsReading: boolean;
-  /** Release and claim anew only after a proof. */
-  readonly wantsProof: boolean;
-  /** Refuse "not run" only under an own key or after a close. */
-  readonly refusesTruthfully: boolean;
+  /** Dispatch a call only after its claim was read back. */
+  readonly awaitsReadBack: boolean;
+  /** Release a claim only with proof that its attempt never starts. */
+  readonly requiresReleaseProof: boolean;
+  /** Answer "not run" only for the entry's own key or after a close. */
+  readonly closesBeforeNotRun: boolean;
 }
 
 export const coordinatorRules: CoordinatorRules = {
   table: claimRules,
-  awaitsReading: true,
-  wantsProof: true,
-  refusesTruthfully: true,
+  awaitsReadBack: true,
+  requiresReleaseProof: true,
+  closesBeforeNotRun: true,
 };
 
 export interface CoordinatorSettings {
   readonly entry: string;
   readonly entryIncarnation: string;
-  /** Appends that this entry may make, in all shards together. */
+  /** Append limit of this entry over all shards. */
   readonly appendsPerSecond: number;
-  /** A new UUIDv7; its time tells the agent how old the attempt is. */
+  /** Creates a UUIDv7; its timestamp gives the agent the attempt's age. */
   readonly newAttempt: () => string;
-  /** Places a call; nothing when no backend server can take it now. */
+  /** Places a call; undefined when no backend server can take it now. */
   readonly chooseAgent: (call: string) => AgentChoice | undefined;
   readonly emit: Emit;
   readonly rules?: CoordinatorRules;
 }
 
-/** How far a call is. */
+/** Phase of a call and the claim that it concerns. */
 export type Phase =
   | { readonly kind: "claiming"; readonly claim: ClaimEntry }
   | { readonly kind: "asking"; readonly claim: ClaimEntry }
@@ -49,7 +49,7 @@
 export interface CallState {
   readonly request: ClaimRequest;
   readonly phase: Phase;
-  /** Attempt that is being waited for, and since when. */
+  /** The attempt that the call waits for, and when the wait began. */
   readonly awaited: { readonly attempt: string; readonly sinceMs: number };
   readonly giveUpAtMs: number;
 }
--- a/src/claims/coordinator.ts
+++ b/src/claims/coordinator.ts
@@ -1,17 +1,17 @@
 /**
- * The claims of one entry. A call that may not be repeated is dispatched only
- * after its own claim was read back as the winner; a repeat of it, here or at
- * another entry, goes to the attempt that holds the claim.
+ * Coordinates the claims of one entry. A non-repeatable call is dispatched only
+ * after its claim was read back as the winner. A repeat of the call, at this or
+ * another entry, attaches to the attempt that holds the claim.
  *
- * What a refusal may say: "not run" only under a key that nobody else can know,
- * or after a close was read back. In any other case another entry may be
- * running the call, so its outcome is unknown and the caller repeats with the
- * same key, which is always safe.
+ * A refusal may say "not run" only for a key that this entry generated, or
+ * after a close was read back. Otherwise another entry may be running the call,
+ * so the outcome is unknown; the caller can always safely repeat the call with
+ * the same key.
  */
 import type { ErrorNumber, LogRecord } from "../internal.js";
 import { AbandonedClaims } from "./abandoned.js";
 import { AppendSchedule } from "./append-schedule.js";
-import { ClaimCalls } from "./calls.js";
+import { PendingCalls } from "./calls.js";
 import {
   coordinatorRules,
   type CallState,
@@ -35,22 +35,22 @@
 } from "./types.js";
 
 /**
- * How long a repeat lets the entry that holds the claim start its attempt
- * before it rules the attempt out. A claim is dispatched within milliseconds of
- * its reading; after this its entry is dead or paused.
+ * How long a repeat waits for the claim's entry to start the attempt before it
+ * asks the agent for a tombstone. A live entry dispatches within milliseconds
+ * of reading its claim; after this time it is dead or paused.
  */
 export const START_GRACE_MS = 1_000;
 
-/** Between two questions to the agent. */
-const ASK_AGAIN_MS = 100;
+/** Interval between two queries to the agent. */
+const ASK_INTERVAL_MS = 100;
 
-/** Longest wait for a close to be read back. */
-const CLOSE_WAIT_MS = 500;
+/** Maximum wait for a close to be read back. */
+const CLOSE_TIMEOUT_MS = 500;
 
 export class ClaimCoordinator {
   private readonly tables: readonly ClaimTable[];
   private readonly schedule: AppendSchedule;
-  private readonly calls = ClaimCalls.create();
+  private readonly calls = PendingCalls.create();
   private readonly abandoned = AbandonedClaims.create();
   private readonly rules: CoordinatorRules;
   private effects: ClaimEffect[] = [];
@@ -68,33 +68,33 @@
     return new ClaimCoordinator(settings);
   }
 
-  /** Calls that wait for a claim, an agent's answer or their dispatch's end. */
+  /** Calls that wait for a claim, an agent's answer or their outcome. */
   get waiting(): number {
     return this.calls.size;
   }
 
-  /** First offset of a shard's stream that was not read yet. */
+  /** First unread offset of a shard's stream. */
   nextOffset(shard: number): number {
     return this.tables[shard].nextOffset;
   }
 
-  /** Whether neither a call nor an append waits for anything. */
+  /** Whether no call and no append is pending. */
   get isIdle(): boolean {
     return this.calls.size === 0 && this.schedule.isIdle;
   }
 
-  /** What the log says about a call, as far as it was read. */
+  /** Status of a call according to the records read so far. */
   statusOf(identity: CallIdentity): ClaimStatus {
     return this.tables[shardOf(identity)].status(identity);
   }
 
-  /** Takes a call over; its effects carry the call's name. */
+  /** Starts a call; its effects carry the call's id. */
   begin(request: ClaimRequest, nowMs: number): readonly ClaimEffect[] {
-    this.proceed(request, nowMs);
-    return this.finish(nowMs);
+    this.advanceCall(request, nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  /** One read of a shard's stream, also an empty one. */
+  /** Applies one read of a shard's stream, which may be empty. */
   onRead(
     shard: number,
     startOffset: number,
@@ -105,10 +105,10 @@
     table.skipTrimmed(startOffset, nowMs);
     for (const record of records) {
       for (const verdict of table.apply(record)) {
-        this.settle(shard, verdict, nowMs);
+        this.applyVerdict(shard, verdict, nowMs);
       }
     }
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
   onAppendAnswered(
@@ -117,7 +117,7 @@
     nowMs: number,
   ): readonly ClaimEffect[] {
     this.schedule.onAnswered(shard, nonce);
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
   onAppendFailed(
@@ -126,10 +126,10 @@
     nowMs: number,
   ): readonly ClaimEffect[] {
     this.schedule.onFailed(shard, nonce, nowMs);
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  /** What the agent said to an "ask". */
+  /** Applies the agent's answer to an `ask` effect. */
   onAgentAnswer(
     call: string,
     answer: AttemptAnswer,
@@ -137,30 +137,30 @@
   ): readonly ClaimEffect[] {
     const state = this.calls.get(call);
     if (state?.phase.kind === "asking") {
-      this.applyAnswer(state, state.phase.claim, answer, nowMs);
+      this.applyAttemptAnswer(state, state.phase.claim, answer, nowMs);
     }
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  /** The dispatched attempt was refused by its agent and never starts. */
+  /** The agent refused the dispatched attempt, which therefore never starts. */
   onRefused(call: string, nowMs: number): readonly ClaimEffect[] {
     const state = this.calls.get(call);
     if (state?.phase.kind === "dispatched") {
-      this.replace(state, state.phase.claim, "refused", nowMs);
+      this.releaseAndReclaim(state, state.phase.claim, "refused", nowMs);
     }
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  /** The call has its outcome, or its caller is gone before the dispatch. */
+  /** The call has its outcome, or its caller left before the dispatch. */
   end(call: string, nowMs: number): readonly ClaimEffect[] {
     const state = this.calls.get(call);
     if (state?.phase.kind === "claiming")
       this.abandon(state.phase.claim, nowMs);
     this.calls.delete(call);
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  /** To be called every few milliseconds. */
+  /** Must be called every few milliseconds. */
   tick(nowMs: number): readonly ClaimEffect[] {
     for (const state of this.calls.all()) {
       const { phase } = state;
@@ -168,32 +168,32 @@
       if (nowMs >= state.giveUpAtMs) {
         this.giveUp(state, nowMs);
       } else if (phase.kind === "pausing" && nowMs >= phase.askAtMs) {
-        this.ask(state.request, phase.claim, nowMs);
+        this.askAgent(state.request, phase.claim, nowMs);
       }
     }
-    return this.finish(nowMs);
+    return this.takeEffects(nowMs);
   }
 
-  private finish(nowMs: number): readonly ClaimEffect[] {
-    let next = this.schedule.take(nowMs);
+  private takeEffects(nowMs: number): readonly ClaimEffect[] {
+    let next = this.schedule.nextBatch(nowMs);
     while (next !== undefined) {
       this.effects.push({ kind: "append", ...next });
-      next = this.schedule.take(nowMs);
+      next = this.schedule.nextBatch(nowMs);
     }
     const { effects } = this;
     this.effects = [];
     return effects;
   }
 
-  /** The next step of a call by what the log says now. */
-  private proceed(request: ClaimRequest, nowMs: number): void {
+  /** Takes the next step of a call, depending on its status in the log. */
+  private advanceCall(request: ClaimRequest, nowMs: number): void {
     const status = this.statusOf(request);
     switch (status.kind) {
       case "free":
-        this.claimFirst(request, status.nextGeneration, nowMs);
+        this.startFirstClaim(request, status.nextGeneration, nowMs);
         return;
       case "claimed":
-        this.ask(request, status.claim, nowMs);
+        this.askAgent(request, status.claim, nowMs);
         return;
       case "closed":
         this.refuse(request, 1306);
@@ -203,7 +203,7 @@
     }
   }
 
-  private claimFirst(
+  private startFirstClaim(
     request: ClaimRequest,
     generation: number,
     nowMs: number,
@@ -212,11 +212,11 @@
     if (choice === undefined) {
       this.refuse(request, request.isOwnKey ? 1209 : 1304);
     } else {
-      this.claim(request, generation, choice, nowMs);
+      this.appendClaim(request, generation, choice, nowMs);
     }
   }
 
-  private claim(
+  private appendClaim(
     request: ClaimRequest,
     generation: number,
     choice: AgentChoice,
@@ -236,30 +236,34 @@
       agent: choice.agent,
       agentIncarnation: choice.agentIncarnation,
     };
-    this.calls.move(request, { kind: "claiming", claim }, nowMs);
+    this.calls.setPhase(request, { kind: "claiming", claim }, nowMs);
     this.schedule.add(shardOf(request), claim);
-    if (!this.rules.awaitsReading) this.dispatch(request, claim, nowMs);
+    if (!this.rules.awaitsReadBack) this.dispatch(request, claim, nowMs);
   }
 
-  private settle(shard: number, verdict: ClaimVerdict, nowMs: number): void {
+  private applyVerdict(
+    shard: number,
+    verdict: ClaimVerdict,
+    nowMs: number,
+  ): void {
     const { entry, result } = verdict;
     this.schedule.onRead(shard, entry);
     if (entry.kind === "release") return;
-    const isAbandoned = this.abandoned.take(entry.attempt);
+    const isAbandoned = this.abandoned.remove(entry.attempt);
     if (isAbandoned && result === "won" && entry.kind === "claim") {
-      this.schedule.add(shard, release(entry, "not-dispatched"));
+      this.schedule.add(shard, createRelease(entry, "not-dispatched"));
       this.settings.emit(133, { attempt: entry.attempt });
     }
     const state = this.calls.byAttempt(entry.attempt);
     if (state === undefined) return;
     if (entry.kind === "claim") {
-      this.settleClaim(state, entry, result, nowMs);
+      this.applyClaimVerdict(state, entry, result, nowMs);
     } else {
-      this.settleClose(state, entry, result, nowMs);
+      this.applyCloseVerdict(state, entry, result, nowMs);
     }
   }
 
-  private settleClaim(
+  private applyClaimVerdict(
     { request, phase }: CallState,
     claim: ClaimEntry,
     result: ClaimVerdict["result"],
@@ -267,7 +271,7 @@
   ): void {
     if (phase.kind !== "claiming") return;
     if (phase.claim.attempt !== claim.attempt) return;
-    if (result === "won" && this.holds(request, claim)) {
+    if (result === "won" && this.isClaimInForce(request, claim)) {
       this.dispatch(request, claim, nowMs);
       return;
     }
@@ -275,10 +279,10 @@
       this.refuse(request, request.isOwnKey ? 1901 : 1302);
       return;
     }
-    this.proceed(request, nowMs);
+    this.advanceCall(request, nowMs);
   }
 
-  private settleClose(
+  private applyCloseVerdict(
     { request, phase }: CallState,
     close: CloseEntry,
     result: ClaimVerdict["result"],
@@ -286,15 +290,15 @@
   ): void {
     if (phase.kind !== "closing") return;
     if (phase.claim.attempt !== close.attempt) return;
-    // The status says "incomplete" when records between the claim and the close
-    // were trimmed unread: a release and a later start may be among them.
+    // The status is "incomplete" when records between the claim and the close
+    // were trimmed unread; they may contain a release and a later claim.
     const isClosed = this.statusOf(request).kind === "closed";
     if (result === "closed" && isClosed) this.refuse(request, 1305);
-    else this.proceed(request, nowMs);
+    else this.advanceCall(request, nowMs);
   }
 
-  /** Whether all records of the call were read and the claim stands. */
-  private holds(identity: CallIdentity, claim: ClaimEntry): boolean {
+  /** Whether all records of the call were read and the claim is in force. */
+  private isClaimInForce(identity: CallIdentity, claim: ClaimEntry): boolean {
     const status = this.statusOf(identity);
     return status.kind === "claimed" && status.claim.attempt === claim.attempt;
   }
@@ -305,14 +309,18 @@
     nowMs: number,
   ): void {
     const { call } = request;
-    this.calls.move(request, { kind: "dispatched", claim }, nowMs);
+    this.calls.setPhase(request, { kind: "dispatched", claim }, nowMs);
     this.settings.emit(131, { call, attempt: claim.attempt });
     this.effects.push({ kind: "dispatch", call, claim });
   }
 
-  private ask(request: ClaimRequest, claim: ClaimEntry, nowMs: number): void {
+  private askAgent(
+    request: ClaimRequest,
+    claim: ClaimEntry,
+    nowMs: number,
+  ): void {
     const { call } = request;
-    const { awaited } = this.calls.move(
+    const { awaited } = this.calls.setPhase(
       request,
       { kind: "asking", claim },
       nowMs,
@@ -321,7 +329,7 @@
     this.effects.push({ kind: "ask", call, claim, tombstone });
   }
 
-  private applyAnswer(
+  private applyAttemptAnswer(
     state: CallState,
     claim: ClaimEntry,
     answer: AttemptAnswer,
@@ -338,16 +346,20 @@
         this.refuse(request, 1309);
         return;
       case "tombstoned":
-        this.replace(state, claim, "tombstone", nowMs);
+        this.releaseAndReclaim(state, claim, "tombstone", nowMs);
         return;
       case "waiting":
       case "unreachable": {
-        if (!this.rules.wantsProof) {
-          this.replace(state, claim, "tombstone", nowMs);
+        if (!this.rules.requiresReleaseProof) {
+          this.releaseAndReclaim(state, claim, "tombstone", nowMs);
           return;
         }
-        const askAtMs = nowMs + ASK_AGAIN_MS;
-        this.calls.move(request, { kind: "pausing", claim, askAtMs }, nowMs);
+        const askAtMs = nowMs + ASK_INTERVAL_MS;
+        this.calls.setPhase(
+          request,
+          { kind: "pausing", claim, askAtMs },
+          nowMs,
+        );
         return;
       }
       case "forgotten":
@@ -356,46 +368,50 @@
     }
   }
 
-  /** Releases an attempt that can never start and claims the call anew. */
-  private replace(
+  /** Releases an attempt that can never start and claims the call again. */
+  private releaseAndReclaim(
     { request, giveUpAtMs }: CallState,
     claim: ClaimEntry,
     proof: ReleaseProof,
     nowMs: number,
   ): void {
-    if (!this.holds(request, claim)) {
-      this.proceed(request, nowMs);
+    if (!this.isClaimInForce(request, claim)) {
+      this.advanceCall(request, nowMs);
       return;
     }
     const isLate = nowMs >= giveUpAtMs;
     const choice = isLate ? undefined : this.settings.chooseAgent(request.call);
     if (choice === undefined) {
-      this.close(request, claim, nowMs);
+      this.closeKey(request, claim, nowMs);
       return;
     }
     this.settings.emit(134, { attempt: claim.attempt, proof });
-    this.schedule.add(shardOf(request), release(claim, proof));
-    this.claim(request, claim.generation + 1, choice, nowMs);
+    this.schedule.add(shardOf(request), createRelease(claim, proof));
+    this.appendClaim(request, claim.generation + 1, choice, nowMs);
   }
 
-  /** The attempt never starts, and no other is wanted: "not run" for good. */
-  private close(request: ClaimRequest, claim: ClaimEntry, nowMs: number): void {
+  /** Closes the key of a call that never ran and won't be attempted again. */
+  private closeKey(
+    request: ClaimRequest,
+    claim: ClaimEntry,
+    nowMs: number,
+  ): void {
     if (request.isOwnKey) {
       this.refuse(request, 1209);
       return;
     }
     const { account, key, generation, attempt } = claim;
-    if (!this.rules.refusesTruthfully) {
+    if (!this.rules.closesBeforeNotRun) {
       this.refuse(request, 1305);
       return;
     }
-    const giveUpAtMs = nowMs + CLOSE_WAIT_MS;
-    this.calls.move(request, { kind: "closing", claim }, nowMs, giveUpAtMs);
+    const giveUpAtMs = nowMs + CLOSE_TIMEOUT_MS;
+    this.calls.setPhase(request, { kind: "closing", claim }, nowMs, giveUpAtMs);
     const close = { kind: "close", account, key, generation, attempt } as const;
     this.schedule.add(shardOf(request), close);
   }
 
-  /** The bounded wait is over, most likely by an outage of the log. */
+  /** Refuses a call whose wait has expired, usually due to a log outage. */
   private giveUp({ request, phase }: CallState, nowMs: number): void {
     const { isOwnKey } = request;
     this.settings.emit(135, { call: request.call, phase: phase.kind });
@@ -404,13 +420,14 @@
       this.refuse(request, 1308);
       return;
     }
-    const isNotRun = isOwnKey || !this.rules.refusesTruthfully;
+    const isNotRun = isOwnKey || !this.rules.closesBeforeNotRun;
     this.refuse(request, isNotRun ? 1901 : 1307);
   }
 
   /**
-   * The append may still land, or have landed. The attempt is never dispatched,
-   * and when its claim is read as the winner it is released for a repeat.
+   * The append may have taken effect or may still do so. The attempt is never
+   * dispatched; if its claim is read back as the winner, it is released so that
+   * a repeat can run.
    */
   private abandon(claim: ClaimEntry, nowMs: number): void {
     this.schedule.withdraw(shardOf(claim), claim.attempt);
@@ -423,7 +440,7 @@
   }
 }
 
-function release(claim: ClaimEntry, proof: ReleaseProof): ReleaseEntry {
+function createRelease(claim: ClaimEntry, proof: ReleaseProof): ReleaseEntry {
   const { account, key, generation, attempt } = claim;
   return { kind: "release", account, key, generation, attempt, proof };
 }
--- a/src/claims/table.ts
+++ b/src/claims/table.ts
@@ -1,12 +1,12 @@
 /**
- * What one shard of the claim log says: a deterministic function of its
- * records. The first claim of a generation in log order wins. Generations make
- * repeated and late appends harmless: the copy of a claim that was released
- * meets a later generation, and so does a release that comes too late.
+ * State of one shard of the claim log, a deterministic function of its records.
+ * The first claim of a generation in log order wins. Generations make repeated
+ * and late appends harmless: a copy of a released claim has an outdated
+ * generation, and so has a release that arrives late.
  */
 import type { LogRecord } from "../internal.js";
 import { decodeClaimBatch } from "./codec.js";
-import { CLOCK_SKEW_MS, KEY_WINDOW_MS, keyTime } from "./keys.js";
+import { CLOCK_SKEW_MS, KEY_WINDOW_MS, keyTimestampMs } from "./keys.js";
 import type {
   CallIdentity,
   ClaimEntry,
@@ -18,66 +18,66 @@
 } from "./types.js";
 
 /**
- * The platform keeps records at least this long: what was trimmed unread was
- * appended earlier.
+ * The platform retains records at least this long, so any record that was
+ * trimmed unread is older.
  */
 export const MINIMUM_RETENTION_MS = 600_000;
 
-/** A log clock that steps back by less than this does no harm. */
-const FORGET_MARGIN_MS = 600_000;
+/** Extra retention; tolerates a log clock that steps back by less than this. */
+const EXPIRY_MARGIN_MS = 600_000;
 
-/** A pass over all calls is dear, so it is made seldom. */
-const FORGET_PASS_MS = 10_000;
+/** Each expiry scans all calls, which is too expensive for every record. */
+const EXPIRY_INTERVAL_MS = 10_000;
 
 interface CallRecord {
   readonly generation: number;
-  /** Absent after a release. */
+  /** Undefined after a release. */
   readonly claim: ClaimEntry | undefined;
   readonly claimedAtMs: number;
   readonly isClosed: boolean;
 }
 
-/** The decisions that keep a call from running twice; see ClaimTable. */
+/** Rules of the table that prevent a call from running twice. */
 export interface ClaimRules {
-  /** Whether a claim may follow what is known of its call. */
+  /** Whether the claim has the generation that follows the last one. */
   readonly isNextGeneration: (
     claim: ClaimEntry,
     generation: number,
     isClaimed: boolean,
   ) => boolean;
-  /** Whether a release or a close is of the claim in force. */
-  readonly fits: (
+  /** Whether a release or close refers to the claim in force. */
+  readonly matchesClaim: (
     ending: ReleaseEntry | CloseEntry,
     claim: ClaimEntry,
   ) => boolean;
-  /** Whether the log took the claim while its key was young enough. */
+  /** Whether the claim was appended within the key's window. */
   readonly isInWindow: (key: string, appendedAtMs: number) => boolean;
-  /** Whether all records of a key were read. */
+  /** Whether all records of the key were read. */
   readonly isComplete: (key: string, completeSinceMs: number) => boolean;
 }
 
 export const claimRules: ClaimRules = {
   isNextGeneration: (claim, generation, isClaimed) =>
     !isClaimed && claim.generation === generation + 1,
-  fits: (ending, claim) =>
+  matchesClaim: (ending, claim) =>
     ending.generation === claim.generation && ending.attempt === claim.attempt,
-  // A claim appended after every reader forgot the key would look like the
-  // first one of a new call.
+  // A claim appended after every reader has expired the key would look like the
+  // first claim of a new call.
   isInWindow: (key, appendedAtMs) => {
-    const ageMs = appendedAtMs - keyTime(key);
+    const ageMs = appendedAtMs - keyTimestampMs(key);
     return ageMs <= KEY_WINDOW_MS && ageMs >= -CLOCK_SKEW_MS;
   },
-  // No valid claim is older than its key, but for the skew of the clocks.
+  // Apart from clock skew, no valid claim is older than its key.
   isComplete: (key, completeSinceMs) =>
-    keyTime(key) - CLOCK_SKEW_MS >= completeSinceMs,
+    keyTimestampMs(key) - CLOCK_SKEW_MS >= completeSinceMs,
 };
 
 export class ClaimTable {
   private readonly calls = new Map<string, CallRecord>();
-  private next = 0;
+  private firstUnappliedOffset = 0;
   private completeSinceMs = Number.NEGATIVE_INFINITY;
   private latestAppendMs = Number.NEGATIVE_INFINITY;
-  private forgottenAtMs = Number.NEGATIVE_INFINITY;
+  private lastExpiryAtMs = Number.NEGATIVE_INFINITY;
 
   private constructor(private readonly rules: ClaimRules) {}
 
@@ -85,32 +85,33 @@
     return new ClaimTable(rules);
   }
 
-  /** First offset that was not applied yet. */
+  /** First offset that isn't applied yet. */
   get nextOffset(): number {
-    return this.next;
+    return this.firstUnappliedOffset;
   }
 
-  /** Calls held in memory. */
+  /** Number of calls held in memory. */
   get size(): number {
     return this.calls.size;
   }
 
   /**
-   * To be called with the start offset of every read, before its records.
-   * Records between the last one read and the start are lost unread.
+   * Must be called with the start offset of every read, before its records are
+   * applied. Records between the last applied one and this offset were trimmed
+   * unread.
    */
   skipTrimmed(startOffset: number, nowMs: number): void {
-    if (startOffset <= this.next) return;
-    this.next = startOffset;
+    if (startOffset <= this.firstUnappliedOffset) return;
+    this.firstUnappliedOffset = startOffset;
     this.completeSinceMs = nowMs - MINIMUM_RETENTION_MS + CLOCK_SKEW_MS;
   }
 
   apply(record: LogRecord): readonly ClaimVerdict[] {
-    if (record.offset < this.next) return [];
-    this.next = record.offset + 1;
+    if (record.offset < this.firstUnappliedOffset) return [];
+    this.firstUnappliedOffset = record.offset + 1;
     const { appendedAtMs } = record;
     this.latestAppendMs = Math.max(this.latestAppendMs, appendedAtMs);
-    this.forgetOld();
+    this.expireOldCalls();
     const entries = decodeClaimBatch(record.data)?.entries ?? [];
     return entries.map((entry) => ({
       entry,
@@ -122,7 +123,7 @@
     if (!this.rules.isComplete(identity.key, this.completeSinceMs)) {
       return { kind: "incomplete" };
     }
-    const known = this.calls.get(nameOf(identity));
+    const known = this.calls.get(callKey(identity));
     if (known?.isClosed === true) return { kind: "closed" };
     if (known?.claim === undefined) {
       return { kind: "free", nextGeneration: (known?.generation ?? 0) + 1 };
@@ -145,7 +146,7 @@
     appendedAtMs: number,
   ): ClaimVerdict["result"] {
     if (!this.rules.isInWindow(claim.key, appendedAtMs)) return "expired";
-    const name = nameOf(claim);
+    const name = callKey(claim);
     const known = this.calls.get(name);
     if (known?.isClosed === true) return "lost";
     if (known?.claim?.attempt === claim.attempt) return "won";
@@ -166,10 +167,10 @@
   private applyEnding(
     ending: ReleaseEntry | CloseEntry,
   ): ClaimVerdict["result"] {
-    const name = nameOf(ending);
+    const name = callKey(ending);
     const known = this.calls.get(name);
     if (known?.claim === undefined || known.isClosed) return "stale";
-    if (!this.rules.fits(ending, known.claim)) return "stale";
+    if (!this.rules.matchesClaim(ending, known.claim)) return "stale";
     const isClosed = ending.kind === "close";
     this.calls.set(name, {
       ...known,
@@ -179,18 +180,18 @@
     return isClosed ? "closed" : "released";
   }
 
-  private forgetOld(): void {
-    if (this.latestAppendMs < this.forgottenAtMs + FORGET_PASS_MS) return;
-    this.forgottenAtMs = this.latestAppendMs;
-    const limitMs = this.latestAppendMs - KEY_WINDOW_MS - FORGET_MARGIN_MS;
+  private expireOldCalls(): void {
+    if (this.latestAppendMs < this.lastExpiryAtMs + EXPIRY_INTERVAL_MS) return;
+    this.lastExpiryAtMs = this.latestAppendMs;
+    const limitMs = this.latestAppendMs - KEY_WINDOW_MS - EXPIRY_MARGIN_MS;
     for (const name of this.calls.keys()) {
-      if (keyTime(name.slice(name.indexOf("\n") + 1)) < limitMs) {
+      if (keyTimestampMs(name.slice(name.indexOf("\n") + 1)) < limitMs) {
         this.calls.delete(name);
       }
     }
   }
 }
 
-function nameOf({ account, key }: CallIdentity): string {
+function callKey({ account, key }: CallIdentity): string {
   return `${account}\n${key}`;
 }
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -1,23 +1,23 @@
-/** Claims of calls that may run at most once, and what becomes of them. */
+/** Types of claims, which make a non-repeatable call run at most once. */
 import type { ErrorNumber } from "../internal.js";
 
-/** A call that may not be repeated; keys of two accounts never meet. */
+/** Identity of a non-repeatable call; each account has its own key space. */
 export interface CallIdentity {
   readonly account: string;
   /** UUIDv7 in lower case. */
   readonly key: string;
 }
 
-/** The agent that an attempt is bound to. */
+/** The agent incarnation that an attempt is bound to. */
 export interface AgentChoice {
   readonly agent: string;
   readonly agentIncarnation: string;
 }
 
-/** One attempt of a call; it can be started by the named agent only. */
+/** Claims a call for one attempt, which only the named agent may start. */
 export interface ClaimEntry extends CallIdentity, AgentChoice {
   readonly kind: "claim";
-  /** 1 for the first claim of a call, then one more after every release. */
+  /** 1 for the first claim of a call, incremented after every release. */
   readonly generation: number;
   readonly attempt: string;
   readonly entry: string;
@@ -30,7 +30,7 @@
   | "tombstone"
   /** Its agent refused it. */
   | "refused"
-  /** Its own entry never dispatched it and never will. */
+  /** Its entry never dispatched it and never will. */
   | "not-dispatched";
 
 export interface ReleaseEntry extends CallIdentity {
@@ -41,8 +41,9 @@
 }
 
 /**
- * Ends a call for good: it never ran and never will under its key. Only this
- * makes "not run" true for a key that a caller may have sent elsewhere too.
+ * Closes the key of a call that never ran: no attempt can start under it any
+ * more. Required before "not run" may be answered for a caller's key, because
+ * the caller may have sent it to another entry as well.
  */
 export interface CloseEntry extends CallIdentity {
   readonly kind: "close";
@@ -52,15 +53,15 @@
 
 export type ClaimLogEntry = ClaimEntry | ReleaseEntry | CloseEntry;
 
-/** One append: everything that came up at one entry in a short time. */
+/** One append: the entries that were queued since the previous one. */
 export interface ClaimBatch {
   readonly kind: "claims";
-  /** New for every batch; a repeated append carries it again. */
+  /** Unique to each batch; identifies the append that an answer is for. */
   readonly nonce: string;
   readonly entries: readonly ClaimLogEntry[];
 }
 
-/** What the log says about a call. */
+/** Status of a call according to the log. */
 export type ClaimStatus =
   | { readonly kind: "free"; readonly nextGeneration: number }
   | {
@@ -73,47 +74,47 @@
   /** Records about the call may have been trimmed unread. */
   | { readonly kind: "incomplete" };
 
-/** What an entry of a batch came to, in log order. */
+/** Result of applying one entry of a batch, in log order. */
 export interface ClaimVerdict {
   readonly entry: ClaimLogEntry;
   readonly result: "won" | "lost" | "released" | "closed" | "stale" | "expired";
 }
 
-/** What an agent knows about an attempt that it is asked for. */
+/** An agent's answer to a query about an attempt. */
 export type AttemptAnswer =
-  /** Started; its answer can be had from the agent. */
+  /** Started; the agent can deliver its answer. */
   | { readonly kind: "started" }
-  /** Started, but its answer is no longer held. */
+  /** Started, but the agent no longer holds its answer. */
   | { readonly kind: "answer-gone" }
-  /** Not started so far; it may start at any moment. */
+  /** Not started yet; it may still start. */
   | { readonly kind: "waiting" }
-  /** Not started, and from now on it never will be. */
+  /** Not started; a tombstone prevents it from starting. */
   | { readonly kind: "tombstoned" }
-  /** Too old for the agent to remember. */
+  /** Too old; the agent has discarded its state. */
   | { readonly kind: "forgotten" }
-  /** The agent was restarted since. */
+  /** The agent was restarted after the claim. */
   | { readonly kind: "other-incarnation" }
   /** No answer came. */
   | { readonly kind: "unreachable" };
 
-/** A call as the entry hands it over. */
+/** A call that the entry passes to the coordinator. */
 export interface ClaimRequest extends CallIdentity {
-  /** Name of the call inside the entry. */
+  /** Id of the call within the entry. */
   readonly call: string;
-  /** Whether this entry made the key, so that nobody else can know it. */
+  /** Whether this entry generated the key, so that no other entry has it. */
   readonly isOwnKey: boolean;
-  /** The call gets its refusal then, ms since the Unix epoch. */
+  /** When the call is refused if still undecided, ms since the Unix epoch. */
   readonly giveUpAtMs: number;
 }
 
-/** What the entry has to carry out. */
+/** Actions that the entry must perform. */
 export type ClaimEffect =
   | {
       readonly kind: "append";
       readonly shard: number;
       readonly batch: ClaimBatch;
     }
-  /** The only leave to dispatch: the call's own claim was read back. */
+  /** The call's claim was read back; nothing else permits a dispatch. */
   | {
       readonly kind: "dispatch";
       readonly call: string;
@@ -123,10 +124,10 @@
       readonly kind: "ask";
       readonly call: string;
       readonly claim: ClaimEntry;
-      /** Whether an attempt that has not started is to be ruled out. */
+      /** Whether an attempt that hasn't started must get a tombstone. */
       readonly tombstone: boolean;
     }
-  /** The answer of another attempt is this call's answer. */
+  /** The call receives the answer of the attempt that holds the claim. */
   | {
       readonly kind: "attach";
       readonly call: string;
--- a/src/expertmap/agent.ts
+++ b/src/expertmap/agent.ts
@@ -1,20 +1,21 @@
 /**
- * The expert map side of one agent: takes messages, answers of its engine and
- * the time, and gives effects. It does no input or output itself.
+ * State machine of one agent's part in expert maps. Its inputs are messages,
+ * answers of the engine and the time; its outputs are effects. It performs no
+ * I/O itself.
  *
- * One order to the engine is out at a time, and each answer carries the
- * engine's state, so every decision rests on what the engine said last.
+ * At most one engine call is in flight, and each answer carries the engine's
+ * state, so every decision is based on the engine's latest answer.
  */
 import {
   ballotKey,
-  GroupFormer,
+  GroupFormation,
   hashMap,
   MapProposer,
   MapSwitch,
   sameBallot,
-  Staging,
+  MapStaging,
   StagingFetch,
-  StepCheck,
+  StepChecker,
   unreachable,
   WeightFetch,
   type ApricotdeckError,
@@ -39,52 +40,52 @@
 
 export interface GroupAgentSettings {
   readonly member: string;
-  /** Incarnation of this agent, new for every start. */
+  /** Incarnation of this agent, unique to each start. */
   readonly agent: string;
   readonly initial: VersionedMap;
   readonly fetch: FetchSettings;
   readonly emit: Emit;
   readonly random: Random;
-  /** Time between reads of an engine of which nothing is expected. */
+  /** Interval between reads while no change of the engine's state is pending. */
   readonly idleReadMs: number;
   readonly safeguards: SwitchSafeguards & { readonly mayGoForward: boolean };
 }
 
 /**
- * The engine is read this often while something of it is awaited: a vote, the
- * end of a formation. A held rank learns of its state this much later.
+ * Interval between engine reads while a vote or a formation is pending. It adds
+ * to the time that a held rank waits.
  */
-const READ_INTERVAL_MS = 50;
+const BUSY_READ_INTERVAL_MS = 50;
 /**
- * An engine that refuses connections fails at once; asked again at once, it
- * would keep this process from doing anything else.
+ * Wait after a failed engine call. Calls to an engine that refuses connections
+ * fail immediately; without a wait the retries would keep this process busy.
  */
-const RETRY_MS = 50;
+const ENGINE_RETRY_MS = 50;
 
 export class GroupAgent {
   private state: EngineMapState | undefined;
   private outstanding: EngineCall | undefined;
-  private readAt = Number.NEGATIVE_INFINITY;
-  private callAt = Number.NEGATIVE_INFINITY;
-  private sealAsked: { formation: Ballot; from: Set<string> } | undefined;
-  private inForce: ExpertMap | undefined;
+  private lastReadAt = Number.NEGATIVE_INFINITY;
+  private nextCallAt = Number.NEGATIVE_INFINITY;
+  private pendingSeal: { formation: Ballot; from: Set<string> } | undefined;
+  private lastReadMap: ExpertMap | undefined;
   private effects: MapEffect[] = [];
-  private readonly votes: MapSwitch;
+  private readonly mapSwitch: MapSwitch;
   private readonly proposer: MapProposer;
-  private readonly former: GroupFormer;
-  private readonly staging: Staging;
-  private readonly fetch: StagingFetch;
-  private readonly steps = StepCheck.create();
+  private readonly formation: GroupFormation;
+  private readonly staging: MapStaging;
+  private readonly stagingFetch: StagingFetch;
+  private readonly stepChecker = StepChecker.create();
 
   private constructor(private readonly settings: GroupAgentSettings) {
     const { member, agent, random, emit, safeguards } = settings;
-    this.votes = MapSwitch.create({ member, agent, emit, safeguards });
-    this.proposer = MapProposer.create(agent, this.votes);
-    this.staging = Staging.create(member, agent);
+    this.mapSwitch = MapSwitch.create({ member, agent, emit, safeguards });
+    this.proposer = MapProposer.create(agent, this.mapSwitch);
+    this.staging = MapStaging.create(member, agent);
     const fetch = WeightFetch.create(settings.fetch, random);
-    this.fetch = StagingFetch.create(member, this.staging, fetch);
+    this.stagingFetch = StagingFetch.create(member, this.staging, fetch);
     const { mayGoForward } = safeguards;
-    this.former = GroupFormer.create(
+    this.formation = GroupFormation.create(
       { member, agent, random, emit, mayGoForward },
       settings.initial,
     );
@@ -94,32 +95,32 @@
     return new GroupAgent(settings);
   }
 
-  /** What the engine said last; undefined before its first answer. */
+  /** State in the engine's latest answer; undefined before the first one. */
   get engineState(): EngineMapState | undefined {
     return this.state;
   }
 
-  /** The map that the engine runs on; undefined until its body was read. */
+  /** The engine's current map; undefined until its content was read. */
   get mapInForce(): VersionedMap | undefined {
-    const { state, inForce } = this;
-    if (inForce === undefined || state === undefined) return undefined;
-    const same = hashMap(inForce) === state.mapHash;
-    return same ? { version: state.version, map: inForce } : undefined;
+    const { state, lastReadMap } = this;
+    if (lastReadMap === undefined || state === undefined) return undefined;
+    const isCurrent = hashMap(lastReadMap) === state.mapHash;
+    return isCurrent ? { version: state.version, map: lastReadMap } : undefined;
   }
 
   get fetchedBytes(): number {
-    return this.fetch.totalBytes;
+    return this.stagingFetch.totalBytes;
   }
 
   setMembers(members: readonly GroupMember[]): void {
-    this.former.setMembers(members);
+    this.formation.setMembers(members);
   }
 
   setInitial(initial: VersionedMap): void {
-    this.former.setInitial(initial);
+    this.formation.setInitial(initial);
   }
 
-  /** Puts a change to the group; its end comes as an `ended` effect. */
+  /** Starts a proposal; its end is reported as an `ended` effect. */
   proposeMap(
     map: ExpertMap,
     deadline: number,
@@ -133,33 +134,34 @@
     message: MapMessage,
     now: number,
   ): readonly MapEffect[] {
-    if (this.state !== undefined) this.take(from, message, this.state, now);
-    return this.proceed(now);
+    if (this.state !== undefined)
+      this.handleMessage(from, message, this.state, now);
+    return this.advanceAndTakeEffects(now);
   }
 
   tick(now: number): readonly MapEffect[] {
-    return this.proceed(now);
+    return this.advanceAndTakeEffects(now);
   }
 
   engineAnswered(answer: EngineAnswer, now: number): readonly MapEffect[] {
     const call = this.outstanding;
     this.outstanding = undefined;
-    this.readAt = now;
-    this.inForce = answer.map ?? this.inForce;
-    this.observe(answer.state, now);
-    if (call?.kind === "arm") this.votes.armAnswered(call.proposal);
-    if (call?.kind === "seal") this.tellSealed(answer);
+    this.lastReadAt = now;
+    this.lastReadMap = answer.map ?? this.lastReadMap;
+    this.updateState(answer.state, now);
+    if (call?.kind === "arm") this.mapSwitch.armAnswered(call.proposal);
+    if (call?.kind === "seal") this.sendSealed(answer);
     if (call?.kind === "stage" && answer.staged !== null) {
-      this.fetch.start(call, answer.staged);
+      this.stagingFetch.start(call, answer.staged);
     }
-    return this.proceed(now);
+    return this.advanceAndTakeEffects(now);
   }
 
-  /** Whether the order took effect isn't known; the next answer tells. */
+  /** The call may have taken effect; the state in the next answer shows it. */
   engineFailed(now: number): readonly MapEffect[] {
     this.outstanding = undefined;
-    this.callAt = now + RETRY_MS;
-    return this.proceed(now);
+    this.nextCallAt = now + ENGINE_RETRY_MS;
+    return this.advanceAndTakeEffects(now);
   }
 
   partArrived(
@@ -167,8 +169,8 @@
     heldBytes: number,
     now: number,
   ): readonly MapEffect[] {
-    this.fetch.arrived(part, heldBytes);
-    return this.proceed(now);
+    this.stagingFetch.partArrived(part, heldBytes);
+    return this.advanceAndTakeEffects(now);
   }
 
   partFailed(
@@ -176,16 +178,16 @@
     retryAfterMs: number,
     now: number,
   ): readonly MapEffect[] {
-    this.fetch.failed(part, now, retryAfterMs);
-    return this.proceed(now);
+    this.stagingFetch.partFailed(part, now, retryAfterMs);
+    return this.advanceAndTakeEffects(now);
   }
 
-  /** Checks reports of the own engine's ranks against the committed maps. */
+  /** Checks step reports of this engine's ranks against the committed maps. */
   checkSteps(reports: readonly StepReport[]): void {
-    this.tellViolations(this.steps.check(reports));
+    this.reportViolations(this.stepChecker.check(reports));
   }
 
-  private take(
+  private handleMessage(
     from: string,
     message: MapMessage,
     state: EngineMapState,
@@ -202,14 +204,14 @@
         this.proposer.receive(from, message, now);
         return;
       case "votes":
-        this.votes.receive(from, message, state, now, send);
+        this.mapSwitch.receive(from, message, state, now, send);
         return;
       case "seal":
-        this.former.heard(message.formation, now);
-        this.askSeal(from, message.formation);
+        this.formation.observeFormation(message.formation, now);
+        this.queueSeal(from, message.formation);
         return;
       case "join":
-        this.former.heard(message.formation, now);
+        this.formation.observeFormation(message.formation, now);
         if (sameBallot(state.group, message.formation)) {
           send(from, { kind: "joined", formation: message.formation });
         } else if (!this.staging.join(message, state)) {
@@ -217,28 +219,28 @@
         }
         return;
       case "standing":
-        this.former.heardStanding(from, message.group);
+        this.formation.receiveStanding(from, message.group);
         return;
       case "sealed":
       case "joined":
       case "unable":
-        this.former.receive(from, message, now);
+        this.formation.receive(from, message, now);
         return;
       default:
         unreachable(message);
     }
   }
 
-  private observe(state: EngineMapState, now: number): void {
+  private updateState(state: EngineMapState, now: number): void {
     const previous = this.state;
     this.state = state;
-    this.votes.observe(state, now);
-    this.tellViolations(this.steps.observe(state));
-    const changed =
+    this.mapSwitch.observe(state, now);
+    this.reportViolations(this.stepChecker.observe(state));
+    const isChanged =
       state.group !== null &&
       (previous?.version !== state.version ||
         !sameBallot(previous.group, state.group));
-    if (changed) {
+    if (isChanged) {
       const { version, mapHash, since } = state;
       const group = ballotKey(state.group);
       this.settings.emit(163, { group, version, mapHash, since });
@@ -248,17 +250,17 @@
     }
   }
 
-  private askSeal(from: string, formation: Ballot): void {
-    const asked = this.sealAsked;
-    if (asked !== undefined && sameBallot(asked.formation, formation)) {
-      asked.from.add(from);
-    } else this.sealAsked = { formation, from: new Set([from]) };
+  private queueSeal(from: string, formation: Ballot): void {
+    const pending = this.pendingSeal;
+    if (pending !== undefined && sameBallot(pending.formation, formation)) {
+      pending.from.add(from);
+    } else this.pendingSeal = { formation, from: new Set([from]) };
   }
 
-  private tellSealed(answer: EngineAnswer): void {
+  private sendSealed(answer: EngineAnswer): void {
     const { state, map, armedMap } = answer;
-    const asked = this.sealAsked;
-    this.sealAsked = undefined;
+    const pending = this.pendingSeal;
+    this.pendingSeal = undefined;
     const armed = state.armed?.proposal ?? null;
     const message: SealedMessage = {
       kind: "sealed",
@@ -268,12 +270,12 @@
       map,
       armed,
       armedMap,
-      rejected: armed !== null && this.votes.rejected(armed),
+      rejected: armed !== null && this.mapSwitch.isRejected(armed),
     };
-    for (const to of asked?.from ?? []) this.send(0)(to, message);
+    for (const to of pending?.from ?? []) this.send(0)(to, message);
   }
 
-  private proceed(now: number): readonly MapEffect[] {
+  private advanceAndTakeEffects(now: number): readonly MapEffect[] {
     if (this.state !== undefined) this.advance(this.state, now);
     if (this.outstanding === undefined) this.callEngine(now);
     const { effects } = this;
@@ -283,11 +285,11 @@
 
   private advance(state: EngineMapState, now: number): void {
     const send = this.send(now);
-    this.former.tick(state, now, send);
+    this.formation.tick(state, now, send);
     const end = this.proposer.tick(state, now, send);
     if (end !== undefined) this.effects.push({ kind: "ended", ...end });
-    this.votes.tick(now, send);
-    const part = this.fetch.next(state, now);
+    this.mapSwitch.tick(now, send);
+    const part = this.stagingFetch.nextPart(state, now);
     if (part !== undefined) this.effects.push({ kind: "fetch", part });
   }
 
@@ -299,35 +301,35 @@
   }
 
   private nextCall(now: number): EngineCall | undefined {
-    if (now < this.callAt) return undefined;
-    const { state, sealAsked, votes, staging } = this;
+    if (now < this.nextCallAt) return undefined;
+    const { state, pendingSeal, mapSwitch, staging } = this;
     if (state === undefined) return this.readCall(now);
-    if (sealAsked !== undefined) {
-      return { kind: "seal", formation: sealAsked.formation };
+    if (pendingSeal !== undefined) {
+      return { kind: "seal", formation: pendingSeal.formation };
     }
     const mapByHash = (hash: string): ExpertMap | undefined =>
       staging.mapByHash(hash);
     return (
-      votes.wantedCall(state, mapByHash, now) ??
-      staging.wantedCall(state) ??
-      this.fetch.resumeCall(state) ??
+      mapSwitch.nextCall(state, mapByHash, now) ??
+      staging.nextCall(state) ??
+      this.stagingFetch.resumeCall(state) ??
       this.readCall(now)
     );
   }
 
   private readCall(now: number): EngineCall | undefined {
     const { state, settings } = this;
-    const busy =
+    const isBusy =
       state?.armed !== null || !sameBallot(state.group, state.sealed);
-    const interval = busy ? READ_INTERVAL_MS : settings.idleReadMs;
-    if (now < this.readAt + interval) return undefined;
-    const formed = (state?.group ?? null) !== null;
-    const withMap = formed && state?.mapHash !== this.inForceHash();
+    const interval = isBusy ? BUSY_READ_INTERVAL_MS : settings.idleReadMs;
+    if (now < this.lastReadAt + interval) return undefined;
+    const isFormed = (state?.group ?? null) !== null;
+    const withMap = isFormed && state?.mapHash !== this.lastReadMapHash();
     return { kind: "read", withMap };
   }
 
-  private inForceHash(): string {
-    return this.inForce === undefined ? "" : hashMap(this.inForce);
+  private lastReadMapHash(): string {
+    return this.lastReadMap === undefined ? "" : hashMap(this.lastReadMap);
   }
 
   private send(now: number): (to: string, message: MapMessage) => void {
@@ -335,12 +337,12 @@
       if (to !== this.settings.member) {
         this.effects.push({ kind: "send", to, message });
       } else if (this.state !== undefined) {
-        this.take(to, message, this.state, now);
+        this.handleMessage(to, message, this.state, now);
       }
     };
   }
 
-  private tellViolations(details: readonly string[]): void {
+  private reportViolations(details: readonly string[]): void {
     for (const detail of details) {
       this.settings.emit(104, { rule: "one-map-in-every-step", detail });
     }
--- a/src/expertmap/ballot.ts
+++ b/src/expertmap/ballot.ts
@@ -1,6 +1,7 @@
 /**
- * Numbers of proposals and of group incarnations: totally ordered, and never
- * used twice because the author is one start of one agent, which counts up.
+ * Identifies proposals and group incarnations. Ballots are totally ordered and
+ * unique: the author is one incarnation of an agent, which increments the
+ * number.
  */
 
 export interface Ballot {
--- a/src/expertmap/fetch.ts
+++ b/src/expertmap/fetch.ts
@@ -1,12 +1,12 @@
 /**
- * Decides which part of which expert's weights to fetch next.
+ * Schedules the fetches of expert weights, part by part.
  *
- * Load: a map change moves tens to hundreds of experts, and a new engine needs
- * all of its own, while the store serves every group of the site at a limited
- * rate. Unpaced fetches would starve other groups of it, and one that began
- * again after each failure would never end while the store comes and goes. So
- * parts are paced by a token bucket, one part is in flight, and each goes on
- * from the bytes that the engine already holds.
+ * A map change moves tens to hundreds of experts, and a new engine needs all of
+ * its experts, while the store serves every group of the site at a limited
+ * rate. Unpaced fetches would starve other groups, and a fetch that restarted
+ * after each failure would never complete while the store is unstable.
+ * Therefore parts are paced to this agent's share of the rate, one part is in
+ * flight at a time, and a fetch resumes from the bytes that the engine holds.
  */
 import {
   weightKey,
@@ -23,17 +23,17 @@
   readonly partBytes: number;
 }
 
-/** First wait after a failure; doubled for each further one. */
-const FIRST_RETRY_MS = 100;
-/** A store that is back after an outage is found again within this time. */
-const LONGEST_RETRY_MS = 2_000;
+/** Wait after the first failure; doubled after each further one. */
+const INITIAL_BACKOFF_MS = 100;
+/** Bounds the delay until the end of a store outage is noticed. */
+const MAXIMUM_BACKOFF_MS = 2_000;
 
 export class WeightFetch {
-  private wanted: WeightName[] = [];
-  private held = new Map<string, number>();
+  private pending: WeightName[] = [];
+  private heldBytesByWeight = new Map<string, number>();
   private inFlight: WeightPart | undefined;
-  private failures = 0;
-  private nextAt = 0;
+  private consecutiveFailures = 0;
+  private nextPartAt = 0;
   private fetchedBytes = 0;
 
   private constructor(
@@ -49,63 +49,69 @@
     return this.fetchedBytes;
   }
 
-  /** Nothing is left to fetch, as far as is known here. */
-  get idle(): boolean {
-    return this.inFlight === undefined && this.wanted.length === 0;
+  /** Whether no part is in flight and no weights are pending. */
+  get isIdle(): boolean {
+    return this.inFlight === undefined && this.pending.length === 0;
   }
 
-  /** Starts on other weights, from what the engine holds of them. */
+  /** Replaces the pending weights; resumes from the bytes the engine holds. */
   start(wanted: readonly WeightName[], held: readonly StagedWeight[]): void {
-    this.wanted = [...wanted].reverse();
-    this.held = new Map(held.map((item) => [weightKey(item), item.bytes]));
+    this.pending = [...wanted].reverse();
+    this.heldBytesByWeight = new Map(
+      held.map((item) => [weightKey(item), item.bytes]),
+    );
     this.inFlight = undefined;
-    this.dropWhole();
+    this.dropComplete();
   }
 
-  /** The next part, when it is time for it; it is in flight from now on. */
-  next(now: number): WeightPart | undefined {
-    if (this.inFlight !== undefined || now < this.nextAt) return undefined;
-    const weight = this.wanted.at(-1);
+  /** Takes the next part, if one is due, and marks it as in flight. */
+  nextPart(now: number): WeightPart | undefined {
+    if (this.inFlight !== undefined || now < this.nextPartAt) return undefined;
+    const weight = this.pending.at(-1);
     if (weight === undefined) return undefined;
-    const offset = this.held.get(weightKey(weight)) ?? 0;
+    const offset = this.heldBytesByWeight.get(weightKey(weight)) ?? 0;
     const left = this.settings.bytesPerExpert - offset;
     const length = Math.min(this.settings.partBytes, left);
     this.inFlight = { weight, offset, length };
-    this.nextAt = now + (length / this.settings.bytesPerSecond) * 1000;
+    this.nextPartAt = now + (length / this.settings.bytesPerSecond) * 1000;
     return this.inFlight;
   }
 
-  /** The engine holds that many bytes of the weight after a part. */
-  arrived(part: WeightPart, heldBytes: number): void {
+  /** A part was sent to the engine, which now holds `heldBytes` of the weight. */
+  partArrived(part: WeightPart, heldBytes: number): void {
     if (part !== this.inFlight) return;
     this.inFlight = undefined;
-    this.failures = 0;
-    // An engine that started again doesn't take the part. Without this the same
-    // part would be fetched for ever; idle, the agent asks what is wanted.
-    if (heldBytes <= part.offset) this.wanted = [];
+    this.consecutiveFailures = 0;
+    // A restarted engine doesn't accept the part, and the same part would be
+    // fetched forever. Once idle, the agent asks the engine what it lacks.
+    if (heldBytes <= part.offset) this.pending = [];
     this.fetchedBytes += Math.max(0, heldBytes - part.offset);
-    this.held.set(weightKey(part.weight), heldBytes);
-    this.dropWhole();
+    this.heldBytesByWeight.set(weightKey(part.weight), heldBytes);
+    this.dropComplete();
   }
 
-  /** The part didn't come; the store may have named a time to ask again. */
-  failed(part: WeightPart, now: number, retryAfterMs: number): void {
+  /** A fetch failed; the store may have requested a minimum retry delay. */
+  partFailed(part: WeightPart, now: number, retryAfterMs: number): void {
     if (part !== this.inFlight) return;
     this.inFlight = undefined;
-    const backOff = FIRST_RETRY_MS * 2 ** Math.min(this.failures, 10);
-    const wait = Math.max(retryAfterMs, Math.min(backOff, LONGEST_RETRY_MS));
-    this.failures += 1;
-    // Jitter, or all agents of a group would return to the store at once.
-    this.nextAt = now + wait * (0.5 + this.random() / 2);
+    const backoffMs =
+      INITIAL_BACKOFF_MS * 2 ** Math.min(this.consecutiveFailures, 10);
+    const waitMs = Math.max(
+      retryAfterMs,
+      Math.min(backoffMs, MAXIMUM_BACKOFF_MS),
+    );
+    this.consecutiveFailures += 1;
+    // Jitter prevents all agents of a group from retrying at the same time.
+    this.nextPartAt = now + waitMs * (0.5 + this.random() / 2);
   }
 
-  private dropWhole(): void {
+  private dropComplete(): void {
     for (;;) {
-      const weight = this.wanted.at(-1);
+      const weight = this.pending.at(-1);
       if (weight === undefined) return;
-      const held = this.held.get(weightKey(weight)) ?? 0;
+      const held = this.heldBytesByWeight.get(weightKey(weight)) ?? 0;
       if (held < this.settings.bytesPerExpert) return;
-      this.wanted.pop();
+      this.pending.pop();
     }
   }
 }
--- a/src/expertmap/formation.ts
+++ b/src/expertmap/formation.ts
@@ -1,13 +1,13 @@
 /**
- * Forms a group anew: after an engine started again, or when a backend server
- * took another's place.
+ * Forms a new incarnation of a group after an engine restarted or a backend
+ * server was replaced.
  *
- * A formation first has every engine promise itself to it (seal): from then on
- * no engine votes yes in the old incarnation. What the engines tell with the
- * promise is therefore final, and the map follows from it. Then every engine
- * joins. A lock-step group steps only when all of its ranks have joined one and
- * the same incarnation, and an incarnation has one map, so no step can mix maps
- * however many formations run at once; the highest number wins.
+ * A formation first seals every engine, as in the prepare phase of Paxos: a
+ * sealed engine no longer votes yes in the old incarnation, so the state in its
+ * reply is final and determines the map. Then every engine joins. A lock-step
+ * group steps only when all of its ranks have joined the same incarnation, and
+ * an incarnation has exactly one map, so no step can mix maps even when several
+ * formations run concurrently. The formation with the highest number wins.
  */
 import {
   ballotKey,
@@ -21,7 +21,7 @@
   type JoinedMessage,
   type Random,
   type SealedMessage,
-  type Send,
+  type SendMessage,
   type UnableMessage,
 } from "../internal.js";
 
@@ -32,10 +32,11 @@
 }
 
 /**
- * The map that the new incarnation takes. A proposal that may have been
- * committed goes forward: it needed the yes of every member, so one survivor
- * without it proves that there was no commit. Without survivors the map comes
- * from what was recorded, else `initial`.
+ * Chooses the map of the new incarnation. Survivors are the members of the
+ * latest incarnation that still remember it. If all of them voted yes on a
+ * proposal, it may have been committed and its map is chosen. A commit needs a
+ * yes of every member, so one survivor without a yes proves that there was
+ * none. Without survivors the map is `initial`.
  */
 export function chooseMap(
   replies: readonly SealedMessage[],
@@ -51,28 +52,31 @@
   const survivors = replies.filter((item) => sameBallot(item.group, latest));
   const newest = survivors.reduce((a, b) => (b.version > a.version ? b : a));
   const { armed, armedMap } = newest;
-  const everyone =
+  const allArmed =
     armed !== null &&
     survivors.every(
       (item) => !item.rejected && sameBallot(item.armed?.id ?? null, armed.id),
     );
-  if (everyone && armedMap !== null) {
+  if (allArmed && armedMap !== null) {
     return { version: armed.version, map: armedMap };
   }
   const { version, map } = newest;
   return map === null ? initial : { version, map };
 }
 
-export interface FormerSettings {
+export interface FormationSettings {
   readonly member: string;
   readonly agent: string;
   readonly random: Random;
   readonly emit: Emit;
-  /** Off only in the fuzzer's mutation. */
+  /**
+   * Whether a proposal that may have been committed takes effect; false only in
+   * a fuzzer mutation.
+   */
   readonly mayGoForward: boolean;
 }
 
-interface Sealing {
+interface SealingPhase {
   readonly kind: "sealing";
   readonly formation: Ballot;
   readonly members: readonly GroupMember[];
@@ -80,7 +84,7 @@
   sendAt: number;
 }
 
-interface Joining {
+interface JoiningPhase {
   readonly kind: "joining";
   readonly formation: Ballot;
   readonly members: readonly GroupMember[];
@@ -89,58 +93,64 @@
   sendAt: number;
 }
 
-/** A formation that another agent runs is left alone while it is heard of. */
-const QUIET_MS = 500;
-/** Spreads the starts, so that one formation runs where one is enough. */
+/** Another agent's formation counts as ended after this time without a message. */
+const FORMATION_QUIET_MS = 500;
+/** Staggers the starts of the members' formations so that usually one runs. */
 const STAGGER_MS = 200;
-const RESEND_MS = 100;
-/** Longer than any step: members compare their incarnations after it. */
-const STANDING_MS = 500;
-const STANDING_INTERVAL_MS = 200;
+const RESEND_INTERVAL_MS = 100;
+/**
+ * Longer than any step. An engine without progress for this time is stalled,
+ * and its agent sends its incarnation to the other members.
+ */
+const STALL_TIMEOUT_MS = 500;
+const STALL_REPORT_INTERVAL_MS = 200;
 
-export class GroupFormer {
-  private phase: Sealing | Joining | undefined;
-  private expected: readonly GroupMember[] = [];
+export class GroupFormation {
+  private phase: SealingPhase | JoiningPhase | undefined;
+  private expectedMembers: readonly GroupMember[] = [];
   private initial: VersionedMap;
-  private highest = 0;
+  private highestNumber = 0;
   private startAt: number | undefined;
-  /** Incarnations of members whose steps stand still, as those of this one. */
-  private readonly standing = new Map<string, Ballot | null>();
-  private progress: EngineMapState | undefined;
-  private progressAt = 0;
-  private standingAt = 0;
+  /** Incarnations of other stalled members while this engine is stalled. */
+  private readonly stalledMembers = new Map<string, Ballot | null>();
+  private lastProgress: EngineMapState | undefined;
+  private lastProgressAt = 0;
+  private nextStallReportAt = 0;
 
   private constructor(
-    private readonly settings: FormerSettings,
+    private readonly settings: FormationSettings,
     initial: VersionedMap,
   ) {
     this.initial = initial;
   }
 
-  static create(settings: FormerSettings, initial: VersionedMap): GroupFormer {
-    return new GroupFormer(settings, initial);
+  static create(
+    settings: FormationSettings,
+    initial: VersionedMap,
+  ): GroupFormation {
+    return new GroupFormation(settings, initial);
   }
 
-  /** Who the group should consist of; every rank is in it once. */
+  /** Sets the members that the group should have; each rank occurs once. */
   setMembers(members: readonly GroupMember[]): void {
-    if (sameMembers(members, this.expected)) return;
-    this.expected = members;
+    if (sameMembers(members, this.expectedMembers)) return;
+    this.expectedMembers = members;
     this.phase = undefined;
   }
 
-  /** The map of a group of which no engine remembers one. */
+  /** Sets the map, normally the recorded one, for when no engine has one. */
   setInitial(initial: VersionedMap): void {
     this.initial = initial;
   }
 
-  /** Another agent's formation was heard of. */
-  heard(formation: Ballot, now: number): void {
-    this.highest = Math.max(this.highest, formation.number);
+  /** Records that a formation is running, possibly of another agent. */
+  observeFormation(formation: Ballot, now: number): void {
+    this.highestNumber = Math.max(this.highestNumber, formation.number);
     if (formation.author === this.settings.agent) return;
-    this.startAt = now + this.delay();
+    this.startAt = now + this.startDelay();
     if (this.phase === undefined) return;
-    const overtaken = compareBallots(formation, this.phase.formation) > 0;
-    if (overtaken) this.phase = undefined;
+    const isSuperseded = compareBallots(formation, this.phase.formation) > 0;
+    if (isSuperseded) this.phase = undefined;
   }
 
   receive(
@@ -151,82 +161,97 @@
     const { phase } = this;
     if (phase === undefined) return;
     if (!sameBallot(message.formation, phase.formation)) {
-      this.heard(message.formation, now);
+      this.observeFormation(message.formation, now);
       return;
     }
     if (message.kind === "unable") this.phase = undefined;
     if (message.kind === "sealed" && phase.kind === "sealing") {
       phase.replies.set(from, message);
-      if (phase.replies.size === phase.members.length) this.join(phase, now);
+      if (phase.replies.size === phase.members.length)
+        this.startJoining(phase, now);
     }
     if (message.kind === "joined" && phase.kind === "joining") {
       phase.joined.add(from);
       if (phase.joined.size < phase.members.length) return;
       this.phase = undefined;
-      // What this engine last told may be older than its joining, and a second
-      // formation would end every proposal in the group that has just formed.
+      // The last state read from this engine may predate its join. Starting
+      // another formation on it would end every proposal in the new group.
       this.startAt = undefined;
     }
   }
 
   /**
-   * Another member's steps stand still too. When it is of another incarnation,
-   * each would wait for the other for ever; a group that steps sends none.
+   * Another member is stalled. If it belongs to another incarnation than this
+   * engine, both would wait for each other forever and a formation is needed. A
+   * group that makes progress doesn't send this message.
    */
-  heardStanding(from: string, group: Ballot | null): void {
-    this.standing.set(from, group);
+  receiveStanding(from: string, group: Ballot | null): void {
+    this.stalledMembers.set(from, group);
   }
 
-  tick(state: EngineMapState, now: number, send: Send): void {
-    this.watchProgress(state, now, send);
+  tick(state: EngineMapState, now: number, send: SendMessage): void {
+    this.reportStall(state, now, send);
     if (this.phase === undefined && !this.isNeeded(state)) {
       this.startAt = undefined;
       return;
     }
     if (this.phase === undefined) {
-      this.startAt ??= now + this.delay();
+      this.startAt ??= now + this.startDelay();
       if (now < this.startAt) return;
-      this.seal(state, now);
+      this.startSealing(state, now);
     }
     this.resend(now, send);
   }
 
   private isNeeded(state: EngineMapState): boolean {
-    const { expected, settings } = this;
-    if (!expected.some(({ member }) => member === settings.member)) {
+    const { expectedMembers, settings } = this;
+    if (!expectedMembers.some(({ member }) => member === settings.member)) {
       return false;
     }
     if (state.group === null) return true;
-    const promised = !sameBallot(state.group, state.sealed);
-    if (promised || !sameMembers(state.members, expected)) return true;
-    return [...this.standing].some(
+    const isSealedToOther = !sameBallot(state.group, state.sealed);
+    if (isSealedToOther || !sameMembers(state.members, expectedMembers))
+      return true;
+    return [...this.stalledMembers].some(
       ([member, group]) =>
-        expected.some((item) => item.member === member) &&
+        expectedMembers.some((item) => item.member === member) &&
         !sameBallot(group, state.group),
     );
   }
 
-  private watchProgress(state: EngineMapState, now: number, send: Send): void {
-    const { progress } = this;
-    const stands =
-      progress?.step === state.step && sameBallot(progress.group, state.group);
-    if (!stands) {
-      this.progress = state;
-      this.progressAt = now;
-      this.standing.clear();
+  private reportStall(
+    state: EngineMapState,
+    now: number,
+    send: SendMessage,
+  ): void {
+    const { lastProgress } = this;
+    const isUnchanged =
+      lastProgress?.step === state.step &&
+      sameBallot(lastProgress.group, state.group);
+    if (!isUnchanged) {
+      this.lastProgress = state;
+      this.lastProgressAt = now;
+      this.stalledMembers.clear();
     }
-    if (now < this.progressAt + STANDING_MS || now < this.standingAt) return;
-    this.standingAt = now + STANDING_INTERVAL_MS;
-    for (const { member } of this.expected) {
+    if (
+      now < this.lastProgressAt + STALL_TIMEOUT_MS ||
+      now < this.nextStallReportAt
+    )
+      return;
+    this.nextStallReportAt = now + STALL_REPORT_INTERVAL_MS;
+    for (const { member } of this.expectedMembers) {
       if (member === this.settings.member) continue;
       send(member, { kind: "standing", group: state.group });
     }
   }
 
-  private seal(state: EngineMapState, now: number): void {
-    this.highest = Math.max(this.highest, state.sealed.number) + 1;
-    const formation = { number: this.highest, author: this.settings.agent };
-    const members = this.expected;
+  private startSealing(state: EngineMapState, now: number): void {
+    this.highestNumber = Math.max(this.highestNumber, state.sealed.number) + 1;
+    const formation = {
+      number: this.highestNumber,
+      author: this.settings.agent,
+    };
+    const members = this.expectedMembers;
     const replies = new Map<string, SealedMessage>();
     this.phase = { kind: "sealing", formation, members, replies, sendAt: now };
     this.settings.emit(166, {
@@ -235,7 +260,7 @@
     });
   }
 
-  private join(phase: Sealing, now: number): void {
+  private startJoining(phase: SealingPhase, now: number): void {
     const { formation, members } = phase;
     const replies = [...phase.replies.values()].map((reply) =>
       this.settings.mayGoForward ? reply : { ...reply, armed: null },
@@ -252,27 +277,29 @@
     };
   }
 
-  private resend(now: number, send: Send): void {
+  private resend(now: number, send: SendMessage): void {
     const { phase } = this;
     if (phase === undefined || now < phase.sendAt) return;
-    phase.sendAt = now + RESEND_MS;
+    phase.sendAt = now + RESEND_INTERVAL_MS;
     const { formation, members } = phase;
     for (const { member } of members) {
       if (phase.kind === "sealing") {
         if (phase.replies.has(member)) continue;
         send(member, { kind: "seal", formation });
       } else {
-        // Also to those that joined: hearing of it keeps them from starting
-        // a formation of their own while another still fetches its weights.
+        // Members that have joined get it too: it keeps them from starting a
+        // formation while another member still fetches weights.
         send(member, { kind: "join", formation, members, ...phase.chosen });
       }
     }
   }
 
-  private delay(): number {
+  private startDelay(): number {
     const { member, random } = this.settings;
-    const place = this.expected.findIndex((item) => item.member === member);
-    return QUIET_MS + (Math.max(0, place) + random()) * STAGGER_MS;
+    const index = this.expectedMembers.findIndex(
+      (item) => item.member === member,
+    );
+    return FORMATION_QUIET_MS + (Math.max(0, index) + random()) * STAGGER_MS;
   }
 }
 
--- a/src/expertmap/map.ts
+++ b/src/expertmap/map.ts
@@ -1,4 +1,4 @@
-/** Questions about one expert map or two that the switch asks. */
+/** Helpers for expert maps: content hash, experts and weights of ranks. */
 import { createHash } from "node:crypto";
 import {
   EMPTY_SLOT,
@@ -9,22 +9,22 @@
 
 const HASH_LENGTH = 16;
 
-const hashes = new WeakMap<ExpertMap, string>();
+const hashCache = new WeakMap<ExpertMap, string>();
 
-/** Content hash; remembered, as a large map takes milliseconds to hash. */
+/** Content hash of a map; cached because hashing a large map takes milliseconds. */
 export function hashMap(map: ExpertMap): string {
-  const known = hashes.get(map);
-  if (known !== undefined) return known;
+  const cached = hashCache.get(map);
+  if (cached !== undefined) return cached;
   const { layers, ranks, experts, slotsPerRank } = map.shape;
   const shape = [layers, ranks, experts, slotsPerRank];
   const numbers = Int32Array.from([...shape, ...Array.from(map.slots)]);
   const digest = createHash("sha256").update(numbers).digest("hex");
   const hash = digest.slice(0, HASH_LENGTH);
-  hashes.set(map, hash);
+  hashCache.set(map, hash);
   return hash;
 }
 
-/** Experts that a rank holds in a layer. */
+/** Experts that a rank holds in one layer. */
 export function expertsOf(
   { shape, slots }: ExpertMap,
   layer: number,
@@ -36,7 +36,7 @@
   }).filter((expert) => expert !== EMPTY_SLOT);
 }
 
-/** Experts that the ranks hold under the map. */
+/** Weights that the ranks need under the map, over all layers. */
 export function weightsOf(
   map: ExpertMap,
   ranks: readonly number[],
--- a/src/expertmap/membership.ts
+++ b/src/expertmap/membership.ts
@@ -1,43 +1,44 @@
 /**
- * Who the group should consist of. The list of VMs lags, and a new VM may be
- * there before the old one is gone, so two VMs can offer the same rank.
+ * Chooses the members of a group. The VM list lags, and a replacement may be
+ * listed before the old VM is removed, so two VMs can offer the same rank.
  */
 import type { GroupMember } from "../internal.js";
 
 export interface Candidate extends GroupMember {
-  /** It still serves but is about to go. */
+  /** Still serving, but about to leave. */
   readonly leaving: boolean;
 }
 
 /**
- * One member for each rank, or undefined while a rank has none. Whoever is in
- * the group stays while it is listed: all agents must come to the same choice,
- * and a choice that follows every change of the list would form the group anew
- * for nothing.
+ * Chooses one member for each rank, or returns undefined while a rank has no
+ * candidate. Current members stay while they are listed, unless they are
+ * leaving and another candidate offers their ranks: all agents must make the
+ * same choice, and following every change of the list would cause needless
+ * formations.
  */
 export function chooseMembers(
   candidates: readonly Candidate[],
   ranks: number,
-  present: readonly GroupMember[],
+  currentMembers: readonly GroupMember[],
 ): readonly GroupMember[] | undefined {
-  const isPresent = (name: string): boolean =>
-    present.some(({ member }) => member === name);
+  const isCurrentMember = (name: string): boolean =>
+    currentMembers.some(({ member }) => member === name);
   const order = [...candidates].sort(
     (a, b) =>
       Number(a.leaving) - Number(b.leaving) ||
-      Number(isPresent(b.member)) - Number(isPresent(a.member)) ||
+      Number(isCurrentMember(b.member)) - Number(isCurrentMember(a.member)) ||
       (a.member < b.member ? -1 : 1),
   );
-  const taken = new Set<number>();
+  const takenRanks = new Set<number>();
   const chosen: GroupMember[] = [];
   for (const { member, ranks: offered } of order) {
-    if (offered.length === 0 || offered.some((rank) => taken.has(rank))) {
+    if (offered.length === 0 || offered.some((rank) => takenRanks.has(rank))) {
       continue;
     }
-    for (const rank of offered) taken.add(rank);
+    for (const rank of offered) takenRanks.add(rank);
     chosen.push({ member, ranks: offered });
   }
-  const all = Array.from({ length: ranks }, (_, rank) => rank);
-  if (!all.every((rank) => taken.has(rank))) return undefined;
+  const allRanks = Array.from({ length: ranks }, (_, rank) => rank);
+  if (!allRanks.every((rank) => takenRanks.has(rank))) return undefined;
   return chosen.sort((a, b) => (a.member < b.member ? -1 : 1));
 }
--- a/src/expertmap/proposer.ts
+++ b/src/expertmap/proposer.ts
@@ -1,12 +1,12 @@
 /**
- * Puts one map change to the group: has the weights staged everywhere first,
- * then picks a step soon after, and proposes the change for it.
+ * Proposes one map change to the group: first has every member stage the
+ * weights, then picks a step shortly ahead and proposes the switch for it.
  *
- * Load: a change moves gigabytes at the weight store's rate, for seconds to
- * minutes. A step picked before that would be a guess: too near, and every rank
- * would hold at it; too far, and the new map would come into force long after
- * the demand that it was made for. After staging only the votes are left, and
- * they take milliseconds.
+ * A change moves gigabytes at the weight store's rate, which takes seconds to
+ * minutes. A step picked before staging would be a guess: too early, and every
+ * rank would hold at it; too late, and the map would take effect long after the
+ * demand it was planned for. After staging only the votes remain, which take
+ * milliseconds.
  */
 import { Left, Right, type Either } from "purify-ts";
 import {
@@ -21,59 +21,62 @@
   type MapSwitch,
   type Proposal,
   type ProposalEnd,
-  type Send,
+  type SendMessage,
   type StagedMessage,
 } from "../internal.js";
 
 /**
- * Time from the proposal to its step. The votes need one exchange with every
- * member and one order to every engine; within this time they survive two lost
- * messages at the relay interval of 50 ms. Longer only delays the new map.
+ * Time from the proposal to its step. The votes take one exchange with every
+ * member and one call to every engine; this time also tolerates two lost
+ * messages at the relay interval of 50 ms. A longer time only delays the map.
  */
 export const VOTE_WINDOW_MS = 300;
-const SHORTEST_VOTE_STEPS = 8;
-/** A lost message delays staging by this long. */
-const RESEND_MS = 100;
-/** After the step nobody can still vote yes; then only facts are missing. */
-const LONGEST_STEP_MS = 1_000;
+const MINIMUM_VOTE_STEPS = 8;
+/** Interval between stage requests; a lost message delays staging by it. */
+const RESEND_INTERVAL_MS = 100;
+/**
+ * Longest step assumed when the step of a switch is picked; also assumed while
+ * no step duration is known.
+ */
+const MAXIMUM_STEP_MS = 1_000;
 
-interface Staging {
+interface StagingPhase {
   readonly kind: "staging";
   readonly group: Ballot;
   readonly version: number;
   readonly map: ExpertMap;
   readonly members: readonly string[];
   readonly deadline: number;
-  readonly replies: Map<string, StagedReply>;
+  readonly replies: Map<string, ReceivedStaged>;
   sendAt: number;
 }
 
-interface StagedReply {
+interface ReceivedStaged {
   readonly message: StagedMessage;
   readonly at: number;
 }
 
-interface Voting {
+interface VotingPhase {
   readonly kind: "voting";
   readonly proposal: Proposal;
 }
 
-export interface ProposerEnd {
+export interface EndedProposal {
   readonly mapHash: string;
   readonly end: ProposalEnd;
 }
 
 export class MapProposer {
-  private phase: Staging | Voting | undefined;
-  private highest = 0;
+  private phase: StagingPhase | VotingPhase | undefined;
+  private highestNumber = 0;
 
   private constructor(
     private readonly agent: string,
-    private readonly votes: MapSwitch,
+    private readonly mapSwitch: MapSwitch,
   ) {}
 
-  static create(agent: string, votes: MapSwitch): MapProposer {
-    return new MapProposer(agent, votes);
+  static create(agent: string, mapSwitch: MapSwitch): MapProposer {
+    return new MapProposer(agent, mapSwitch);
   }
 
   start(
@@ -110,23 +113,23 @@
   tick(
     state: EngineMapState,
     now: number,
-    send: Send,
-  ): ProposerEnd | undefined {
+    send: SendMessage,
+  ): EndedProposal | undefined {
     if (this.phase === undefined) return undefined;
     const end =
       this.phase.kind === "staging"
-        ? this.stage(this.phase, state, now, send)
-        : this.watch(this.phase, state);
+        ? this.advanceStaging(this.phase, state, now, send)
+        : this.checkOutcome(this.phase, state);
     if (end !== undefined) this.phase = undefined;
     return end;
   }
 
-  private stage(
-    phase: Staging,
+  private advanceStaging(
+    phase: StagingPhase,
     state: EngineMapState,
     now: number,
-    send: Send,
-  ): ProposerEnd | undefined {
+    send: SendMessage,
+  ): EndedProposal | undefined {
     const { group, version, map, replies, members } = phase;
     const mapHash = hashMap(map);
     if (!sameBallot(state.group, group) || state.version >= version) {
@@ -143,7 +146,7 @@
       return undefined;
     }
     if (now >= phase.sendAt) {
-      phase.sendAt = now + RESEND_MS;
+      phase.sendAt = now + RESEND_INTERVAL_MS;
       for (const member of members) {
         send(member, { kind: "stage", group, version, map });
       }
@@ -151,58 +154,65 @@
     return undefined;
   }
 
-  private propose(phase: Staging, state: EngineMapState, now: number): void {
+  private propose(
+    phase: StagingPhase,
+    state: EngineMapState,
+    now: number,
+  ): void {
     const { group, version, map, members, replies } = phase;
-    const all = members.flatMap((item) => replies.get(item) ?? []);
-    const floor = all
+    const received = members.flatMap((item) => replies.get(item) ?? []);
+    const floor = received
       .map(({ message }) => message.floor)
       .reduce(higherBallot, state.floor);
-    this.highest = Math.max(this.highest, floor.number) + 1;
+    this.highestNumber = Math.max(this.highestNumber, floor.number) + 1;
     const proposal: Proposal = {
-      id: { number: this.highest, author: this.agent },
+      id: { number: this.highestNumber, author: this.agent },
       group,
       version,
       mapHash: hashMap(map),
-      step: pickStep(all, state, now),
+      step: pickStep(received, state, now),
       participants: members.map((member) => ({
         member,
         agent: replies.get(member)?.message.agent ?? "",
       })),
     };
-    this.votes.propose(proposal, now);
+    this.mapSwitch.propose(proposal, now);
     this.phase = { kind: "voting", proposal };
   }
 
-  private watch(
-    { proposal }: Voting,
+  private checkOutcome(
+    { proposal }: VotingPhase,
     state: EngineMapState,
-  ): ProposerEnd | undefined {
+  ): EndedProposal | undefined {
     const { mapHash } = proposal;
-    const outcome = this.votes.outcome(proposal);
-    const left = !sameBallot(state.group, proposal.group);
-    // Not before the map is in force: whoever proposes next starts from it.
-    const ahead = !left && state.version < proposal.version;
-    if (outcome === "committed" && ahead) return undefined;
+    const outcome = this.mapSwitch.outcome(proposal);
+    const hasLeftGroup = !sameBallot(state.group, proposal.group);
+    // A commit is reported only once the map is in force, because the next
+    // proposal is based on it.
+    const isNotYetInForce = !hasLeftGroup && state.version < proposal.version;
+    if (outcome === "committed" && isNotYetInForce) return undefined;
     if (outcome !== undefined) return { mapHash, end: outcome };
-    const overtaken = state.version > proposal.version;
-    return left || overtaken ? { mapHash, end: failure(1604) } : undefined;
+    const isSuperseded = state.version > proposal.version;
+    return hasLeftGroup || isSuperseded
+      ? { mapHash, end: failure(1604) }
+      : undefined;
   }
 }
 
 function pickStep(
-  replies: readonly StagedReply[],
+  replies: readonly ReceivedStaged[],
   state: EngineMapState,
   now: number,
 ): number {
   const stepMs = Math.min(
     ...[...replies.map(({ message }) => message.stepMs), state.stepMs]
       .filter((value) => value > 0)
-      .map((value) => Math.min(value, LONGEST_STEP_MS)),
-    LONGEST_STEP_MS,
+      .map((value) => Math.min(value, MAXIMUM_STEP_MS)),
+    MAXIMUM_STEP_MS,
   );
-  const present = replies.map(
+  const currentSteps = replies.map(
     ({ message, at }) => message.step + (now - at) / stepMs,
   );
-  const ahead = Math.max(SHORTEST_VOTE_STEPS, VOTE_WINDOW_MS / stepMs);
-  return Math.ceil(Math.max(state.step, ...present) + ahead);
+  const stepsAhead = Math.max(MINIMUM_VOTE_STEPS, VOTE_WINDOW_MS / stepMs);
+  return Math.ceil(Math.max(state.step, ...currentSteps) + stepsAhead);
 }
--- a/src/expertmap/staging-fetch.ts
+++ b/src/expertmap/staging-fetch.ts
@@ -1,6 +1,7 @@
 /**
- * Ties the fetch of weights to what the engine is staging: starts it with what
- * the engine lacks, and finds out when the engine lacks something again.
+ * Fetches the weights of the map that the engine is staging. Starts with the
+ * weights that the engine lacks and detects when a restarted engine lacks
+ * weights again.
  */
 import {
   hashMap,
@@ -10,7 +11,7 @@
   type EngineCall,
   type EngineMapState,
   type StagedWeight,
-  type Staging,
+  type MapStaging,
   type WeightFetch,
   type WeightPart,
 } from "../internal.js";
@@ -18,18 +19,18 @@
 type StageCall = EngineCall & { readonly kind: "stage" };
 
 export class StagingFetch {
-  /** Hash of the map whose weights are fetched. */
+  /** Hash of the map whose weights are being fetched. */
   private mapHash = "";
 
   private constructor(
     private readonly member: string,
-    private readonly staging: Staging,
+    private readonly staging: MapStaging,
     private readonly fetch: WeightFetch,
   ) {}
 
   static create(
     member: string,
-    staging: Staging,
+    staging: MapStaging,
     fetch: WeightFetch,
   ): StagingFetch {
     return new StagingFetch(member, staging, fetch);
@@ -39,44 +40,48 @@
     return this.fetch.totalBytes;
   }
 
-  /** The engine was told what to stage, and told what it holds of it. */
+  /** Starts fetching after the engine's answer to a stage call. */
   start(call: StageCall, staged: readonly StagedWeight[]): void {
     this.mapHash = call.mapHash;
-    const named = new Set(staged.map(weightKey));
-    const wanted = call.weights.filter((item) => named.has(weightKey(item)));
+    const stagedKeys = new Set(staged.map(weightKey));
+    const wanted = call.weights.filter((item) =>
+      stagedKeys.has(weightKey(item)),
+    );
     this.fetch.start(wanted, staged);
   }
 
-  next(state: EngineMapState, now: number): WeightPart | undefined {
+  nextPart(state: EngineMapState, now: number): WeightPart | undefined {
     return state.stagingHash === this.mapHash
-      ? this.fetch.next(now)
+      ? this.fetch.nextPart(now)
       : undefined;
   }
 
-  arrived(part: WeightPart, heldBytes: number): void {
-    this.fetch.arrived(part, heldBytes);
+  partArrived(part: WeightPart, heldBytes: number): void {
+    this.fetch.partArrived(part, heldBytes);
   }
 
-  failed(part: WeightPart, now: number, retryAfterMs: number): void {
-    this.fetch.failed(part, now, retryAfterMs);
+  partFailed(part: WeightPart, now: number, retryAfterMs: number): void {
+    this.fetch.partFailed(part, now, retryAfterMs);
   }
 
   /**
-   * Learns from the engine how far the weights have come: after a new start of
-   * this agent, and when the engine lacks weights that were thought fetched
-   * because it started again in between.
+   * Returns a stage call whose answer shows which weights the engine holds.
+   * Needed after a restart of this agent, and when the engine restarted and
+   * lost weights that were already fetched.
    */
   resumeCall(state: EngineMapState): StageCall | undefined {
     const { stagingHash, stagingComplete, members } = state;
-    const fetching = stagingHash === this.mapHash && !this.fetch.idle;
-    if (stagingComplete || fetching) return undefined;
-    const { formation } = this.staging;
-    const joins =
-      formation !== undefined && hashMap(formation.map) === stagingHash;
-    const map = joins ? formation.map : this.staging.mapByHash(stagingHash);
+    const isFetching = stagingHash === this.mapHash && !this.fetch.isIdle;
+    if (stagingComplete || isFetching) return undefined;
+    const { pendingJoin } = this.staging;
+    const isForJoin =
+      pendingJoin !== undefined && hashMap(pendingJoin.map) === stagingHash;
+    const map = isForJoin
+      ? pendingJoin.map
+      : this.staging.mapByHash(stagingHash);
     if (map === undefined) return undefined;
-    const list = joins ? formation.members : members;
-    const weights = weightsOf(map, ranksOf(list, this.member));
+    const mapMembers = isForJoin ? pendingJoin.members : members;
+    const weights = weightsOf(map, ranksOf(mapMembers, this.member));
     return { kind: "stage", mapHash: stagingHash, weights };
   }
 }
--- a/src/expertmap/staging.ts
+++ b/src/expertmap/staging.ts
@@ -1,7 +1,8 @@
 /**
- * Which map this member stages weights for. A map of a formation goes first;
- * of two proposers the one with the lower name does, so that two of them at
- * once can't keep undoing each other's staging.
+ * Chooses the map that this member stages weights for. A formation's map takes
+ * precedence over a proposed one. Of two proposers the one with the lower name
+ * takes precedence, so that concurrent proposers can't keep undoing each
+ * other's staging.
  */
 import {
   hashMap,
@@ -17,31 +18,31 @@
   type StagedMessage,
 } from "../internal.js";
 
-interface Target {
+interface StagingTarget {
   readonly map: ExpertMap;
   readonly from: string;
   readonly group: Ballot;
-  heardAt: number;
+  lastRequestAt: number;
 }
 
-/** A proposer that asks no more has ended or died; another may take over. */
-const PROPOSER_SILENT_MS = 1_000;
+/** A proposer that sends no stage request for this time may be superseded. */
+const PROPOSER_TIMEOUT_MS = 1_000;
 
-export class Staging {
-  private target: Target | undefined;
-  private joining: JoinMessage | undefined;
+export class MapStaging {
+  private target: StagingTarget | undefined;
+  private joinRequest: JoinMessage | undefined;
 
   private constructor(
     private readonly member: string,
     private readonly agent: string,
   ) {}
 
-  static create(member: string, agent: string): Staging {
-    return new Staging(member, agent);
+  static create(member: string, agent: string): MapStaging {
+    return new MapStaging(member, agent);
   }
 
-  get formation(): JoinMessage | undefined {
-    return this.joining;
+  get pendingJoin(): JoinMessage | undefined {
+    return this.joinRequest;
   }
 
   mapByHash(hash: string): ExpertMap | undefined {
@@ -58,15 +59,15 @@
     const { group, version, map } = message;
     if (!sameBallot(state.group, group)) return undefined;
     if (version !== state.version + 1) return undefined;
-    if (this.mayReplace(from, group, now)) {
-      const same = this.mapByHash(hashMap(map));
-      this.target = { map: same ?? map, from, group, heardAt: now };
+    if (this.mayReplaceTarget(from, group, now)) {
+      const knownMap = this.mapByHash(hashMap(map));
+      this.target = { map: knownMap ?? map, from, group, lastRequestAt: now };
     }
     const mapHash = hashMap(map);
-    const current = this.mapByHash(mapHash) !== undefined;
+    const isTarget = this.mapByHash(mapHash) !== undefined;
     const { step, stepMs, floor } = state;
     const complete =
-      current && state.stagingHash === mapHash && state.stagingComplete;
+      isTarget && state.stagingHash === mapHash && state.stagingComplete;
     const { agent } = this;
     return {
       kind: "staged",
@@ -81,25 +82,25 @@
   }
 
   /**
-   * Takes up a formation; false when the engine isn't promised to it. An engine
-   * that started again after its promise must not join: it may have stepped in
-   * this incarnation before.
+   * Accepts a join request; false when the engine isn't sealed to the formation.
+   * An engine that restarted after it was sealed must not join, because it may
+   * already have stepped in this incarnation.
    */
   join(message: JoinMessage, state: EngineMapState): boolean {
-    const promised = sameBallot(state.sealed, message.formation);
-    if (promised) this.joining = message;
-    return promised;
+    const isSealed = sameBallot(state.sealed, message.formation);
+    if (isSealed) this.joinRequest = message;
+    return isSealed;
   }
 
-  /** The order that the engine needs next for staging or joining, if any. */
-  wantedCall(state: EngineMapState): EngineCall | undefined {
-    const { joining } = this;
-    if (joining !== undefined) {
-      const over =
-        !sameBallot(state.sealed, joining.formation) ||
-        sameBallot(state.group, joining.formation);
-      if (over) this.joining = undefined;
-      else return this.joinCall(joining, state);
+  /** The next engine call for staging or joining, if any. */
+  nextCall(state: EngineMapState): EngineCall | undefined {
+    const { joinRequest } = this;
+    if (joinRequest !== undefined) {
+      const isObsolete =
+        !sameBallot(state.sealed, joinRequest.formation) ||
+        sameBallot(state.group, joinRequest.formation);
+      if (isObsolete) this.joinRequest = undefined;
+      else return this.joinCall(joinRequest, state);
     }
     if (this.target === undefined || state.armed !== null) return undefined;
     if (!sameBallot(this.target.group, state.group)) return undefined;
@@ -107,12 +108,12 @@
   }
 
   private joinCall(
-    joining: JoinMessage,
+    joinRequest: JoinMessage,
     state: EngineMapState,
   ): EngineCall | undefined {
-    const { map, members, formation, version } = joining;
-    const ready = state.stagingHash === hashMap(map) && state.stagingComplete;
-    if (ready) return { kind: "join", formation, members, version, map };
+    const { map, members, formation, version } = joinRequest;
+    const isReady = state.stagingHash === hashMap(map) && state.stagingComplete;
+    if (isReady) return { kind: "join", formation, members, version, map };
     return this.stageCall(map, members, state);
   }
 
@@ -127,10 +128,10 @@
     return { kind: "stage", mapHash, weights };
   }
 
-  private mayReplace(from: string, group: Ballot, now: number): boolean {
+  private mayReplaceTarget(from: string, group: Ballot, now: number): boolean {
     const { target } = this;
     if (target === undefined || !sameBallot(target.group, group)) return true;
     if (from <= target.from) return true;
-    return now - target.heardAt > PROPOSER_SILENT_MS;
+    return now - target.lastRequestAt > PROPOSER_TIMEOUT_MS;
   }
 }
--- a/src/expertmap/step-check.ts
+++ b/src/expertmap/step-check.ts
@@ -1,8 +1,8 @@
 /**
- * Checks every step report of the own engine against the map that must have
- * been in force: the rule that all ranks of a group use one map in every step,
- * asserted inside the program. The expectation comes from the committed
- * proposal, which is the same at every member.
+ * Checks every step report of this agent's engine against the map that must
+ * have been in force, to assert at run time that all ranks of a group use one
+ * map in every step. The expected map comes from the committed proposal, which
+ * is the same at every member.
  */
 import {
   ballotKey,
@@ -12,32 +12,32 @@
   type StepReport,
 } from "../internal.js";
 
-interface Period {
+interface MapPeriod {
   readonly group: Ballot;
-  /** First step on the map. */
+  /** First step that runs on the map. */
   readonly since: number;
   readonly version: number;
   readonly mapHash: string;
 }
 
-/** Reports come at most seconds late, far fewer periods than this. */
-const LARGEST_MEMORY = 32;
-/** Reports kept for a second look when they run ahead of what is known. */
-const LARGEST_WAITING = 256;
+/** Reports are at most seconds late, which spans far fewer periods than this. */
+const MAXIMUM_PERIODS = 32;
+/** Reports of a version that isn't known yet, kept until it is. */
+const MAXIMUM_WAITING_REPORTS = 256;
 
-export class StepCheck {
-  private periods: Period[] = [];
+export class StepChecker {
+  private periods: MapPeriod[] = [];
   private waiting: readonly StepReport[] = [];
 
   private constructor() {
-    // Made by create().
+    // Instances come from create().
   }
 
-  static create(): StepCheck {
-    return new StepCheck();
+  static create(): StepChecker {
+    return new StepChecker();
   }
 
-  /** Takes in what the engine runs on and will; returns contradictions. */
+  /** Records the engine's current and committed maps; returns violations. */
   observe({
     group,
     version,
@@ -46,30 +46,30 @@
     armed,
   }: EngineMapState): readonly string[] {
     if (group === null) return [];
-    const found = [this.expect({ group, version, mapHash, since })];
+    const violations = [this.recordPeriod({ group, version, mapHash, since })];
     if (armed?.committed === true) {
       const { step, ...proposal } = armed.proposal;
-      found.push(this.expect({ ...proposal, since: step }));
+      violations.push(this.recordPeriod({ ...proposal, since: step }));
     }
-    return [...found.flatMap((detail) => detail ?? []), ...this.check([])];
+    return [...violations.flatMap((detail) => detail ?? []), ...this.check([])];
   }
 
-  /** Returns what reports contradict, those that had to wait among them. */
+  /** Returns the violations in new reports and in those that were waiting. */
   check(reports: readonly StepReport[]): readonly string[] {
     const all = [...this.waiting, ...reports];
     this.waiting = all
-      .filter((report) => this.runsAhead(report))
-      .slice(-LARGEST_WAITING);
-    return all.flatMap((report) => this.contradiction(report) ?? []);
+      .filter((report) => this.isAhead(report))
+      .slice(-MAXIMUM_WAITING_REPORTS);
+    return all.flatMap((report) => this.findViolation(report) ?? []);
   }
 
-  private expect(period: Period): string | undefined {
+  private recordPeriod(period: MapPeriod): string | undefined {
     const earlier = this.periods.find(
       ({ group, version }) =>
         sameBallot(group, period.group) && version === period.version,
     );
     if (earlier === undefined) {
-      this.periods = [...this.periods, period].slice(-LARGEST_MEMORY);
+      this.periods = [...this.periods, period].slice(-MAXIMUM_PERIODS);
       return undefined;
     }
     const { since, mapHash } = earlier;
@@ -77,29 +77,29 @@
     return `version ${period.version} since ${period.since} with ${period.mapHash}, expected since ${since} with ${mapHash}`;
   }
 
-  /** On a version that this agent hasn't read of yet. */
-  private runsAhead(report: StepReport): boolean {
+  /** Whether the report has a version that this agent doesn't know yet. */
+  private isAhead(report: StepReport): boolean {
     const versions = this.periodsOf(report.group).map((item) => item.version);
     return report.version > Math.max(0, ...versions);
   }
 
-  private contradiction(report: StepReport): string | undefined {
-    if (this.runsAhead(report)) return undefined;
+  private findViolation(report: StepReport): string | undefined {
+    if (this.isAhead(report)) return undefined;
     const expected = this.periodsOf(report.group)
       .filter(({ since }) => since <= report.step)
       .sort((a, b) => b.since - a.since)
       .at(0);
-    // From before this agent knew the engine: nothing to hold against it.
+    // The step is older than the first state read, so nothing is expected.
     if (expected === undefined) return undefined;
     const { version, mapHash } = expected;
     if (version === report.version && mapHash === report.mapHash) {
       return undefined;
     }
-    const where = `rank ${report.rank} step ${report.step} of ${ballotKey(report.group)}`;
-    return `${where} ran version ${report.version} (${report.mapHash}), expected ${version} (${mapHash})`;
+    const location = `rank ${report.rank} step ${report.step} of ${ballotKey(report.group)}`;
+    return `${location} ran version ${report.version} (${report.mapHash}), expected ${version} (${mapHash})`;
   }
 
-  private periodsOf(group: Ballot): readonly Period[] {
+  private periodsOf(group: Ballot): readonly MapPeriod[] {
     return this.periods.filter((period) => sameBallot(period.group, group));
   }
 }
--- a/src/expertmap/switch.ts
+++ b/src/expertmap/switch.ts
@@ -1,11 +1,11 @@
 /**
- * A member's part in proposals: gives its vote, relays votes, and tells its
- * engine the outcome.
+ * A member's part in proposals: casts its vote, relays votes, and passes the
+ * outcome to its engine.
  *
- * All of it is worked out anew from the engine's register and the votes known
- * so far, so a lost message, a lost answer of the engine or a new start of the
- * agent only costs time. Nothing here may be guessed: an engine that was told
- * the wrong outcome would step on another map than the other ranks.
+ * Every decision is derived from the engine's register and the votes known so
+ * far, so a lost message, a lost answer of the engine or a restart of the agent
+ * only costs time. Outcomes are never guessed: an engine that received a wrong
+ * outcome would step on another map than the other ranks.
  */
 import {
   ballotKey,
@@ -25,13 +25,13 @@
   type VotesMessage,
 } from "../internal.js";
 
-/** Safeguards that the fuzzer switches off to show that it would notice. */
+/** Safeguards that the fuzzer disables to prove that it detects their absence. */
 export interface SwitchSafeguards {
-  /** Arm the engine before the yes is told. */
+  /** Arm the engine before sending a yes. */
   readonly armBeforeYes: boolean;
-  /** Read silence as no vote at all. */
+  /** Treat a missing vote as undecided, not as a no. */
   readonly silenceIsOpen: boolean;
-  /** Write a no into the engine's register before it is told. */
+  /** Write a no into the engine's register before sending it. */
   readonly refuseBeforeNo: boolean;
 }
 
@@ -49,28 +49,28 @@
   readonly safeguards: SwitchSafeguards;
 }
 
-interface Entry {
+interface TrackedProposal {
   readonly proposal: Proposal;
   readonly votes: Map<string, boolean>;
   readonly receivedAt: number;
-  relayAt: number;
-  armTried: boolean;
-  ownVoteTold: boolean;
-  outcomeTold: boolean;
+  nextRelayAt: number;
+  armAttempted: boolean;
+  ownVoteSent: boolean;
+  outcomeReported: boolean;
 }
 
-/** Asks again for missing votes; a lost message costs a held rank this long. */
+/** Interval between vote requests; a lost message holds a rank this much longer. */
 const RELAY_INTERVAL_MS = 50;
-/** Proposals remembered; laggards that ask about older ones ask registers. */
-const LARGEST_MEMORY = 16;
-/** Only the mutation that reads silence as a no uses it. */
-const SILENCE_MS = 200;
+/** Votes on older proposals can still be read from the registers. */
+const MAXIMUM_TRACKED_PROPOSALS = 16;
+/** Used only by the fuzzer mutation that treats a missing vote as a no. */
+const SILENCE_TIMEOUT_MS = 200;
 
-/** Sends to another member. */
-export type Send = (to: string, message: MapMessage) => void;
+/** Sends a message to a member, including this one. */
+export type SendMessage = (to: string, message: MapMessage) => void;
 
 export class MapSwitch {
-  private readonly entries = new Map<string, Entry>();
+  private readonly trackedProposals = new Map<string, TrackedProposal>();
 
   private constructor(private readonly settings: SwitchSettings) {}
 
@@ -78,18 +78,18 @@
     return new MapSwitch(settings);
   }
 
-  /** Takes up a proposal of this agent's own. */
+  /** Tracks a proposal made by this agent. */
   propose(proposal: Proposal, now: number): void {
-    this.open(proposal, now);
+    this.track(proposal, now);
   }
 
   outcome(proposal: Proposal): ProposalOutcome | undefined {
-    const entry = this.entries.get(ballotKey(proposal.id));
-    return entry && outcomeOf(proposal, entry.votes);
+    const tracked = this.trackedProposals.get(ballotKey(proposal.id));
+    return tracked && outcomeOf(proposal, tracked.votes);
   }
 
-  /** A vote against the proposal is known. */
-  rejected(proposal: Proposal): boolean {
+  /** Whether a no to the proposal is known. */
+  isRejected(proposal: Proposal): boolean {
     return this.outcome(proposal) === "aborted";
   }
 
@@ -98,161 +98,176 @@
     message: VotesMessage,
     state: EngineMapState,
     now: number,
-    send: Send,
+    send: SendMessage,
   ): void {
     const { proposal, votes, wanted } = message;
     if (!sameBallot(state.group, proposal.group)) return;
-    const entry = this.open(proposal, now);
-    this.merge(entry, votes);
-    this.observeEntry(entry, state);
-    if (wanted) this.tell(entry, from, false, send);
+    const tracked = this.track(proposal, now);
+    this.addVotes(tracked, votes);
+    this.readOwnVote(tracked, state);
+    if (wanted) this.sendVotes(tracked, from, false, send);
   }
 
-  /** Takes in what the engine's register says. */
+  /** Reads this member's votes from the engine's register. */
   observe(state: EngineMapState, now: number): void {
-    // An agent that started anew finds the yes of its predecessor here.
-    if (state.armed !== null) this.open(state.armed.proposal, now);
-    for (const entry of this.entries.values()) this.observeEntry(entry, state);
-    this.forget(state);
+    // A restarted agent finds the yes of its previous incarnation here.
+    if (state.armed !== null) this.track(state.armed.proposal, now);
+    for (const tracked of this.trackedProposals.values())
+      this.readOwnVote(tracked, state);
+    this.removeOldProposals(state);
   }
 
-  /** The order that the engine needs next, if any. */
-  wantedCall(
+  /** The next engine call for a proposal, if any. */
+  nextCall(
     state: EngineMapState,
     mapByHash: (hash: string) => ExpertMap | undefined,
     now: number,
   ): EngineCall | undefined {
-    for (const entry of this.entries.values()) {
-      const call = this.callFor(entry, state, mapByHash, now);
+    for (const tracked of this.trackedProposals.values()) {
+      const call = this.nextCallFor(tracked, state, mapByHash, now);
       if (call !== undefined) return call;
     }
     return undefined;
   }
 
-  /** An order to arm was answered; without effect it isn't tried again. */
+  /** An arm call was answered; if it had no effect, it isn't retried. */
   armAnswered(proposal: Proposal): void {
-    const entry = this.entries.get(ballotKey(proposal.id));
-    if (entry !== undefined) entry.armTried = true;
+    const tracked = this.trackedProposals.get(ballotKey(proposal.id));
+    if (tracked !== undefined) tracked.armAttempted = true;
   }
 
-  /** Relays what is known of open proposals and asks for what is missing. */
-  tick(now: number, send: Send): void {
-    for (const entry of this.entries.values()) {
-      const { proposal, votes } = entry;
-      const open = outcomeOf(proposal, votes) === undefined;
-      const news = votes.has(this.settings.member) && !entry.ownVoteTold;
-      if (!news && !(open && now >= entry.relayAt)) continue;
-      entry.ownVoteTold ||= news;
-      entry.relayAt = now + RELAY_INTERVAL_MS;
+  /** Relays known votes on undecided proposals and requests missing ones. */
+  tick(now: number, send: SendMessage): void {
+    for (const tracked of this.trackedProposals.values()) {
+      const { proposal, votes } = tracked;
+      const isUndecided = outcomeOf(proposal, votes) === undefined;
+      const hasNewVote =
+        votes.has(this.settings.member) && !tracked.ownVoteSent;
+      if (!hasNewVote && !(isUndecided && now >= tracked.nextRelayAt)) continue;
+      tracked.ownVoteSent ||= hasNewVote;
+      tracked.nextRelayAt = now + RELAY_INTERVAL_MS;
       for (const { member } of proposal.participants) {
         if (member === this.settings.member) continue;
-        const needed = news || !votes.has(member);
-        if (needed) this.tell(entry, member, open, send);
+        const isNeeded = hasNewVote || !votes.has(member);
+        if (isNeeded) this.sendVotes(tracked, member, isUndecided, send);
       }
     }
   }
 
-  private tell(entry: Entry, to: string, wanted: boolean, send: Send): void {
-    const { proposal } = entry;
-    const votes = listVotes(entry.votes);
+  private sendVotes(
+    tracked: TrackedProposal,
+    to: string,
+    wanted: boolean,
+    send: SendMessage,
+  ): void {
+    const { proposal } = tracked;
+    const votes = listVotes(tracked.votes);
     send(to, { kind: "votes", proposal, votes, wanted });
   }
 
-  private open(proposal: Proposal, now: number): Entry {
+  private track(proposal: Proposal, now: number): TrackedProposal {
     const key = ballotKey(proposal.id);
-    const known = this.entries.get(key);
+    const known = this.trackedProposals.get(key);
     if (known !== undefined) return known;
-    const entry: Entry = {
+    const tracked: TrackedProposal = {
       proposal,
       votes: new Map(),
       receivedAt: now,
-      relayAt: now,
-      armTried: false,
-      ownVoteTold: false,
-      outcomeTold: false,
+      nextRelayAt: now,
+      armAttempted: false,
+      ownVoteSent: false,
+      outcomeReported: false,
     };
-    this.entries.set(key, entry);
-    return entry;
+    this.trackedProposals.set(key, tracked);
+    return tracked;
   }
 
-  private merge(entry: Entry, votes: VotesMessage["votes"]): void {
-    const contradicting = mergeVotes(entry.proposal, entry.votes, votes);
-    for (const member of contradicting) {
+  private addVotes(
+    tracked: TrackedProposal,
+    votes: VotesMessage["votes"],
+  ): void {
+    const contradictingMembers = mergeVotes(
+      tracked.proposal,
+      tracked.votes,
+      votes,
+    );
+    for (const member of contradictingMembers) {
       this.settings.emit(104, {
         rule: "votes-never-change",
-        detail: `${member} on ${ballotKey(entry.proposal.id)}`,
+        detail: `${member} on ${ballotKey(tracked.proposal.id)}`,
       });
     }
-    this.tellOutcome(entry);
+    this.reportOutcome(tracked);
   }
 
-  private observeEntry(entry: Entry, state: EngineMapState): void {
-    if (!this.isParticipant(entry.proposal)) return;
-    const yes = voteFromRegister(state, entry.proposal);
+  private readOwnVote(tracked: TrackedProposal, state: EngineMapState): void {
+    if (!this.isParticipant(tracked.proposal)) return;
+    const yes = voteFromRegister(state, tracked.proposal);
     if (yes === undefined) return;
     const { member } = this.settings;
-    if (!entry.votes.has(member)) {
-      const proposal = ballotKey(entry.proposal.id);
+    if (!tracked.votes.has(member)) {
+      const proposal = ballotKey(tracked.proposal.id);
       this.settings.emit(161, { proposal, yes });
     }
-    this.merge(entry, [{ member, yes }]);
+    this.addVotes(tracked, [{ member, yes }]);
   }
 
-  private tellOutcome(entry: Entry): void {
-    const outcome = outcomeOf(entry.proposal, entry.votes);
-    if (outcome === undefined || entry.outcomeTold) return;
-    entry.outcomeTold = true;
-    const { id, version, step } = entry.proposal;
+  private reportOutcome(tracked: TrackedProposal): void {
+    const outcome = outcomeOf(tracked.proposal, tracked.votes);
+    if (outcome === undefined || tracked.outcomeReported) return;
+    tracked.outcomeReported = true;
+    const { id, version, step } = tracked.proposal;
     const proposal = ballotKey(id);
     this.settings.emit(162, { proposal, outcome, version, step });
   }
 
-  private callFor(
-    entry: Entry,
+  private nextCallFor(
+    tracked: TrackedProposal,
     state: EngineMapState,
     mapByHash: (hash: string) => ExpertMap | undefined,
     now: number,
   ): EngineCall | undefined {
-    const { proposal, votes } = entry;
+    const { proposal, votes } = tracked;
     if (!sameBallot(state.group, proposal.group)) return undefined;
-    const outcome = this.effectiveOutcome(entry, now);
+    const outcome = this.effectiveOutcome(tracked, now);
     const { armed } = state;
     if (armed !== null && sameBallot(armed.proposal.id, proposal.id)) {
       if (outcome === "aborted") return { kind: "abort", proposal };
-      const late = outcome === "committed" && !armed.committed;
-      return late ? { kind: "commit", proposal } : undefined;
+      const isCommitPending = outcome === "committed" && !armed.committed;
+      return isCommitPending ? { kind: "commit", proposal } : undefined;
     }
-    const settled = outcome !== undefined || votes.has(this.settings.member);
-    if (settled || state.version >= proposal.version) return undefined;
+    const isDecided = outcome !== undefined || votes.has(this.settings.member);
+    if (isDecided || state.version >= proposal.version) return undefined;
     if (!this.isParticipant(proposal)) return undefined;
-    return this.voteCall(entry, state, mapByHash);
+    return this.voteCall(tracked, state, mapByHash);
   }
 
   private voteCall(
-    entry: Entry,
+    tracked: TrackedProposal,
     state: EngineMapState,
     mapByHash: (hash: string) => ExpertMap | undefined,
   ): EngineCall | undefined {
-    const { proposal } = entry;
+    const { proposal } = tracked;
     const map = mapByHash(proposal.mapHash);
-    if (map !== undefined && this.mayArm(entry, state)) {
-      if (!this.settings.safeguards.armBeforeYes) this.voteUnarmed(entry, true);
+    if (map !== undefined && this.mayArm(tracked, state)) {
+      if (!this.settings.safeguards.armBeforeYes)
+        this.voteWithoutRegister(tracked, true);
       return { kind: "arm", proposal, map };
     }
     if (this.settings.safeguards.refuseBeforeNo) {
-      // The no is told only once the register shows it. An order to arm of an
-      // earlier agent that arrives later would otherwise turn it into a yes,
-      // and members would act on different votes.
+      // A no is sent only once it is in the register. Otherwise a delayed arm
+      // call of an earlier agent could turn it into a yes, and members would
+      // act on different votes.
       return { kind: "refuse", proposal };
     }
-    this.voteUnarmed(entry, false);
+    this.voteWithoutRegister(tracked, false);
     return undefined;
   }
 
-  private mayArm(entry: Entry, state: EngineMapState): boolean {
-    const { proposal, armTried } = entry;
+  private mayArm(tracked: TrackedProposal, state: EngineMapState): boolean {
+    const { proposal, armAttempted } = tracked;
     return (
-      !armTried &&
+      !armAttempted &&
       proposal.participants.some(
         ({ agent }) => agent === this.settings.agent,
       ) &&
@@ -264,19 +279,21 @@
     );
   }
 
-  private voteUnarmed(entry: Entry, yes: boolean): void {
-    this.merge(entry, [{ member: this.settings.member, yes }]);
+  private voteWithoutRegister(tracked: TrackedProposal, yes: boolean): void {
+    this.addVotes(tracked, [{ member: this.settings.member, yes }]);
   }
 
   private effectiveOutcome(
-    entry: Entry,
+    tracked: TrackedProposal,
     now: number,
   ): ProposalOutcome | undefined {
-    const known = outcomeOf(entry.proposal, entry.votes);
+    const known = outcomeOf(tracked.proposal, tracked.votes);
     if (known !== undefined || this.settings.safeguards.silenceIsOpen) {
       return known;
     }
-    return now - entry.receivedAt > SILENCE_MS ? "aborted" : undefined;
+    return now - tracked.receivedAt > SILENCE_TIMEOUT_MS
+      ? "aborted"
+      : undefined;
   }
 
   private isParticipant(proposal: Proposal): boolean {
@@ -284,20 +301,21 @@
     return proposal.participants.some((item) => item.member === member);
   }
 
-  private forget(state: EngineMapState): void {
-    for (const [key, { proposal }] of this.entries) {
-      const over =
+  private removeOldProposals(state: EngineMapState): void {
+    for (const [key, { proposal }] of this.trackedProposals) {
+      const isObsolete =
         !sameBallot(state.group, proposal.group) ||
         state.version > proposal.version;
-      if (over) this.entries.delete(key);
+      if (isObsolete) this.trackedProposals.delete(key);
     }
-    const surplus = this.entries.size - LARGEST_MEMORY;
+    const surplus = this.trackedProposals.size - MAXIMUM_TRACKED_PROPOSALS;
     if (surplus <= 0) return;
-    const settled = [...this.entries].filter(
+    const decidedProposals = [...this.trackedProposals].filter(
       ([, { proposal, votes }]) =>
         outcomeOf(proposal, votes) !== undefined &&
         !sameBallot(state.armed?.proposal.id ?? null, proposal.id),
     );
-    for (const [key] of settled.slice(0, surplus)) this.entries.delete(key);
+    for (const [key] of decidedProposals.slice(0, surplus))
+      this.trackedProposals.delete(key);
   }
 }
--- a/src/expertmap/types.ts
+++ b/src/expertmap/types.ts
@@ -1,4 +1,4 @@
-/** Types of the expert map switch: maps, proposals, votes, messages, effects. */
+/** Types of the expert map switch: proposals, votes, messages, effects. */
 import type { ApricotdeckError, Ballot, ExpertMap } from "../internal.js";
 
 /** A backend server of the group and the ranks that its engine runs. */
@@ -9,23 +9,26 @@
 
 export interface Participant {
   readonly member: string;
-  /** Agent incarnation that the proposal is put to. */
+  /** Agent incarnation that the proposal is addressed to. */
   readonly agent: string;
 }
 
-/** Everything of a proposal that deciding needs; the map travels apart. */
+/** The part of a proposal that the votes need; the map is sent separately. */
 export interface Proposal {
   readonly id: Ballot;
   readonly group: Ballot;
-  /** The version in force when it was made, plus one. */
+  /** One above the version in force when the proposal was made. */
   readonly version: number;
   readonly mapHash: string;
-  /** First step that runs on the new map. */
+  /**
+   * First step that runs on the new map. An engine that has reached it can no
+   * longer vote yes.
+   */
   readonly step: number;
   readonly participants: readonly Participant[];
 }
 
-/** A member's vote; it is read from its engine's register and never changes. */
+/** A member's vote, read from its engine's register; it never changes. */
 export interface Vote {
   readonly member: string;
   readonly yes: boolean;
@@ -35,11 +38,11 @@
 
 export interface ArmedProposal {
   readonly proposal: Proposal;
-  /** The outcome is known to the engine; it switches at the step. */
+  /** Whether the engine knows of the commit and will switch at the step. */
   readonly committed: boolean;
 }
 
-/** Experts that one rank needs in one layer. */
+/** Identifies the weights of one expert on one rank and layer. */
 export interface WeightName {
   readonly rank: number;
   readonly layer: number;
@@ -51,37 +54,37 @@
   readonly bytes: number;
 }
 
-/** What an engine tells on `GET /expert-map` and after each order to it. */
+/** Engine state, returned by `GET /expert-map` and after each call. */
 export interface EngineMapState {
   readonly engine: string;
   /** Null until the engine has joined an incarnation of its group. */
   readonly group: Ballot | null;
   readonly members: readonly GroupMember[];
-  /** Highest formation that the engine has promised itself to. */
+  /** Highest formation that the engine is sealed to. */
   readonly sealed: Ballot;
   readonly version: number;
   readonly mapHash: string;
-  /** First step that runs on the present map. */
+  /** First step that runs on the current map. */
   readonly since: number;
-  /** Proposal that brought the present map; null after a formation. */
+  /** Proposal that introduced the current map; null after a formation. */
   readonly origin: Ballot | null;
   readonly armed: ArmedProposal | null;
-  /** No proposal up to this number can be armed any more. */
+  /** Proposals up to and including this ballot can't be armed any more. */
   readonly floor: Ballot;
   /** Next step to run. */
   readonly step: number;
   readonly stepMs: number;
-  /** Since when the engine has held at an undecided step, ms; 0 when not. */
+  /** How long the engine has held at an undecided step, ms; 0 when not held. */
   readonly heldMs: number;
-  /** All holds since the engine's start, the present one with it, ms. */
+  /** Total hold time since the engine's start, including the current hold, ms. */
   readonly heldTotalMs: number;
-  /** Map that weights are being staged for. */
+  /** Hash of the map that weights are being staged for. */
   readonly stagingHash: string;
-  /** Every weight asked for has arrived whole. */
+  /** Whether all requested weights have arrived completely. */
   readonly stagingComplete: boolean;
 }
 
-/** One report of one rank's step; they come late and with gaps. */
+/** Report of one step of one rank; reports arrive late and with gaps. */
 export interface StepReport {
   readonly group: Ballot;
   readonly step: number;
@@ -89,7 +92,7 @@
   readonly version: number;
   readonly mapHash: string;
   readonly durationMs: number;
-  /** Tokens of each expert of each layer that the rank worked on. */
+  /** Tokens that the rank processed, by layer and expert. */
   readonly counts: readonly (readonly number[])[];
 }
 
@@ -111,12 +114,12 @@
   readonly floor: Ballot;
 }
 
-/** Puts a proposal, tells votes and asks for them, all in one. */
+/** Carries a proposal and known votes, and may request missing votes. */
 export interface VotesMessage {
   readonly kind: "votes";
   readonly proposal: Proposal;
   readonly votes: readonly Vote[];
-  /** The sender doesn't know the outcome and asks for what the other knows. */
+  /** The sender doesn't know the outcome and requests the receiver's votes. */
   readonly wanted: boolean;
 }
 
@@ -125,7 +128,7 @@
   readonly formation: Ballot;
 }
 
-/** A member's state after it promised itself to a formation. */
+/** A member's state after its engine was sealed to a formation. */
 export interface SealedMessage {
   readonly kind: "sealed";
   readonly formation: Ballot;
@@ -134,7 +137,7 @@
   readonly map: ExpertMap | null;
   readonly armed: Proposal | null;
   readonly armedMap: ExpertMap | null;
-  /** A vote against the armed proposal is known. */
+  /** Whether a no to the armed proposal is known. */
   readonly rejected: boolean;
 }
 
@@ -151,13 +154,13 @@
   readonly formation: Ballot;
 }
 
-/** The engine isn't promised to the formation (any more): it can't end. */
+/** The engine isn't sealed to the formation, which therefore can't complete. */
 export interface UnableMessage {
   readonly kind: "unable";
   readonly formation: Ballot;
 }
 
-/** The engine's steps stand still in this incarnation. */
+/** The sender's engine is stalled in this incarnation. */
 export interface StandingMessage {
   readonly kind: "standing";
   readonly group: Ballot | null;
@@ -174,7 +177,7 @@
   | UnableMessage
   | StandingMessage;
 
-/** Orders of the agent to its own engine; each is idempotent. */
+/** Calls of the agent to its engine; each is idempotent. */
 export type EngineCall =
   | { readonly kind: "read"; readonly withMap: boolean }
   | {
@@ -199,18 +202,18 @@
       readonly map: ExpertMap;
     };
 
-/** The state after an order; large parts come only with the order they serve. */
+/** Engine state after a call; large parts are included only where needed. */
 export interface EngineAnswer {
   readonly state: EngineMapState;
-  /** With a `seal`, and a `read` that asks for it: map in force. */
+  /** Map in force; after `seal`, and after `read` with `withMap`. */
   readonly map: ExpertMap | null;
-  /** With a `seal`: map of the armed proposal. */
+  /** Map of the armed proposal; after `seal`. */
   readonly armedMap: ExpertMap | null;
-  /** With a `stage`: what the engine already holds of the wanted weights. */
+  /** Bytes that the engine already holds of the requested weights; after `stage`. */
   readonly staged: readonly StagedWeight[] | null;
 }
 
-/** One part of one expert's weights to fetch and to hand to the engine. */
+/** Byte range of one expert's weights to fetch and pass to the engine. */
 export interface WeightPart {
   readonly weight: WeightName;
   readonly offset: number;
--- a/src/expertmap/votes.ts
+++ b/src/expertmap/votes.ts
@@ -1,7 +1,8 @@
 /**
- * Votes on one proposal. A member's vote is what its engine's register says,
- * and the register is written once: armed is a yes, refused is a no. So votes
- * are facts that anyone may relay, and the outcome needs no coordinator.
+ * Votes on one proposal. A member's vote is the value of its engine's register,
+ * which is written once: armed is a yes, refused is a no. Votes are therefore
+ * immutable facts that any member may relay, and no coordinator is needed to
+ * decide the outcome.
  */
 import {
   compareBallots,
@@ -13,8 +14,8 @@
 } from "../internal.js";
 
 /**
- * The vote that the register of a member's engine holds, or undefined when it
- * is still open or the engine can no longer tell.
+ * The vote in the register of a member's engine, or undefined when the member
+ * hasn't voted or the engine no longer knows.
  */
 export function voteFromRegister(
   state: EngineMapState,
@@ -23,17 +24,17 @@
   if (!sameBallot(state.group, proposal.group)) return undefined;
   if (sameBallot(state.armed?.proposal.id ?? null, proposal.id)) return true;
   if (sameBallot(state.origin, proposal.id)) return true;
-  // A later map is in force, so every member has settled this proposal; what
-  // this one said can't be told any more and nobody waits for it.
+  // A later map is in force, so every member has decided this proposal. The
+  // vote is no longer known, and no member waits for it.
   if (state.version > proposal.version) return undefined;
-  // Another proposal took the version, which all members agreed to.
+  // Another proposal, which needed the yes of all members, took the version.
   if (state.version === proposal.version) return false;
-  // An engine that promised itself to a formation arms nothing any more.
+  // A sealed engine no longer arms proposals.
   if (!sameBallot(state.group, state.sealed)) return false;
   return compareBallots(proposal.id, state.floor) <= 0 ? false : undefined;
 }
 
-/** All yes is a commit, any no an abort; silence is neither. */
+/** Committed when all voted yes, aborted on any no, otherwise undecided. */
 export function outcomeOf(
   proposal: Proposal,
   votes: ReadonlyMap<string, boolean>,
@@ -50,21 +51,21 @@
 }
 
 /**
- * Adds facts to what is known. A no after a yes of the same member is a
- * register read after the abort, and says the same as the abort did. A no after
- * a commit would mean that a register was written twice: it is not taken in,
- * and its sender is returned.
+ * Adds votes to the known ones. A no after a yes of the same member was read
+ * from its register after an abort and agrees with the abort. A no after a
+ * commit would mean that a register was written twice: it is ignored, and its
+ * member is returned.
  */
 export function mergeVotes(
   proposal: Proposal,
   known: Map<string, boolean>,
   votes: readonly Vote[],
 ): readonly string[] {
-  const contradicting: string[] = [];
+  const contradictingMembers: string[] = [];
   for (const { member, yes } of votes) {
     const committed = outcomeOf(proposal, known) === "committed";
-    if (committed && !yes) contradicting.push(member);
+    if (committed && !yes) contradictingMembers.push(member);
     else if (known.get(member) !== false) known.set(member, yes);
   }
-  return contradicting;
+  return contradictingMembers;
 }
