--- a/tests/claims/at-most-once.test.ts
+++ b/tests/claims/at-most-once.test.ts
@@ -32,11 +32,11 @@
   readonly status: number;
   readonly outcome: string | undefined;
   readonly retryAfter: string | null;
-  /** Attempt that the service ran. */
+  /** Id of the attempt that the service ran. */
   readonly ran: string | undefined;
 }
 
-/** A dig order sent to one of the entries. */
+/** Sends a non-repeatable order to one of the entries. */
 async function order(site: Site, entry: number, key?: string): Promise<Answer> {
   const address = site.entries[entry].daemon.process.callers;
   const response = await fetch(`http://${address}/services/records/orders`, {
@@ -57,12 +57,12 @@
   return { status: response.status, outcome, retryAfter, ran: body.id };
 }
 
-describe("calls that may not be repeated, over separate processes", () => {
-  it("run once, whatever the log and the callers do", async () => {
+describe("non-repeatable calls in separate processes", () => {
+  it("run at most once despite log faults and repeats", async () => {
     await using site = await startOrderSite();
     const { ran } = site.services[0].service;
 
-    // With a key, without one, and with a key of another form.
+    // With a valid key, without a key, and with a malformed key.
     assert.is((await order(site, 0, uuidV7())).status, 200);
     assert.is((await order(site, 0)).status, 200);
     const malformed = await order(site, 0, uuidV4());
@@ -70,34 +70,34 @@
     assert.is(malformed.outcome, "not-run");
     assert.is(ran.length, 2);
 
-    // A caller repeats at the other entry, one after the other and at once. The
-    // claim is found in the log; the repeat gets the answer of the first, and
-    // the call runs no second time.
+    // A caller repeats the call at the other entry, first sequentially, then
+    // concurrently. The other entry finds the claim in the log, so the repeat
+    // gets the answer of the first call and nothing runs twice.
     const key = uuidV7();
     const first = await order(site, 0, key);
     assert.equal(await order(site, 1, key), first);
-    const racing = uuidV7();
-    const [one, other] = await Promise.all([
-      order(site, 0, racing),
-      order(site, 1, racing),
+    const concurrentKey = uuidV7();
+    const [concurrentFirst, concurrentSecond] = await Promise.all([
+      order(site, 0, concurrentKey),
+      order(site, 1, concurrentKey),
     ]);
-    assert.is(one.status, 200);
-    assert.equal(other, one);
+    assert.is(concurrentFirst.status, 200);
+    assert.equal(concurrentSecond, concurrentFirst);
     assert.is(ran.length, 4);
 
-    // The claim lands, but the log's answer to its append is lost. The entry
-    // learns by reading that its claim came first.
+    // The claim is appended, but the log's answer is lost. The entry finds out
+    // by reading that its claim won.
     site.log.faults.loseAppendAnswers = 1;
     assert.is((await order(site, 0, uuidV7())).status, 200);
     assert.is(ran.length, 5);
 
-    // The log is down. Nobody can tell whether another entry has the caller's
-    // key, so the refusal says unknown; a call without one was not run. Both
-    // come after a bounded wait, and the repeat under the key goes on later.
+    // The log is down. Another entry may have claimed the caller's key, so the
+    // outcome is unknown; a call without a key didn't run. Both are refused
+    // after a bounded wait, and a repeat with the key succeeds after the outage.
     site.log.faults.outage = true;
-    const kept = uuidV7();
+    const outageKey = uuidV7();
     const [keyed, keyless] = await Promise.all([
-      order(site, 0, kept),
+      order(site, 0, outageKey),
       order(site, 1),
     ]);
     assert.equal([keyed.status, keyed.outcome], [503, "unknown"]);
@@ -105,7 +105,7 @@
     assert.ok(keyed.retryAfter);
     assert.is(ran.length, 5);
     site.log.faults.outage = false;
-    assert.is((await order(site, 1, kept)).status, 200);
+    assert.is((await order(site, 1, outageKey)).status, 200);
     assert.is(ran.length, 6);
   });
 });
--- a/tests/claims/coordinator.test.ts
+++ b/tests/claims/coordinator.test.ts
@@ -24,7 +24,7 @@
   return `01a3185c-5000-7000-9000-${String(ids).padStart(12, "0")}`;
 }
 
-function entry(name: string, appendsPerSecond = 1000): ClaimCoordinator {
+function createEntry(name: string, appendsPerSecond = 1000): ClaimCoordinator {
   return ClaimCoordinator.create({
     entry: name,
     entryIncarnation: `${name}.1`,
@@ -60,23 +60,23 @@
   return errorTable[refusal.error].outcome;
 }
 
-describe("claims of an entry", () => {
-  it("dispatch a call only after its claim was read back", () => {
-    const own = entry("e1");
-    const begun = own.begin(request(), NOW_MS);
+describe("claim coordinator of an entry", () => {
+  it("dispatches a call only after its claim was read back", () => {
+    const coordinator = createEntry("e1");
+    const begun = coordinator.begin(request(), NOW_MS);
     assert.equal(kinds(begun), ["append"]);
     const batch = batchOf(begun);
-    own.onAppendAnswered(SHARD, batch.nonce, NOW_MS + 1);
-    const read = own.onRead(SHARD, 0, [record(0, batch)], NOW_MS + 2);
+    coordinator.onAppendAnswered(SHARD, batch.nonce, NOW_MS + 1);
+    const read = coordinator.onRead(SHARD, 0, [record(0, batch)], NOW_MS + 2);
     assert.equal(kinds(read), ["dispatch"]);
   });
 
   describe("when two entries claim one call", () => {
-    // A caller times out at one entry and repeats at another. Both append a
-    // claim; the log puts one first. The other entry must ask the agent of the
-    // first, and its caller gets the first one's answer.
-    it("the second in log order attaches to the first", () => {
-      const [first, second] = [entry("e1"), entry("e2")];
+    // A caller times out at one entry and repeats the call at another. Both
+    // append a claim, and the first in log order wins. The other entry must
+    // query the winner's agent and return the winner's answer.
+    it("attaches the second in log order to the first", () => {
+      const [first, second] = [createEntry("e1"), createEntry("e2")];
       const records = [
         record(0, batchOf(first.begin(request(), NOW_MS))),
         record(1, batchOf(second.begin(request(), NOW_MS))),
@@ -93,124 +93,132 @@
   });
 
   describe("when the answer of an append is lost", () => {
-    // The append took effect, but the entry hears of a failure and appends the
-    // claim again. The first copy wins; the second one changes nothing.
-    it("the copy counts once", () => {
-      const own = entry("e1");
-      const batch = batchOf(own.begin(request(), NOW_MS));
-      own.onAppendFailed(SHARD, batch.nonce, NOW_MS + 5);
-      const again = batchOf(own.tick(NOW_MS + 200));
+    // The append took effect, but the entry sees a failure and appends the claim
+    // again. The first copy wins; the second must change nothing.
+    it("counts the duplicated claim once", () => {
+      const coordinator = createEntry("e1");
+      const batch = batchOf(coordinator.begin(request(), NOW_MS));
+      coordinator.onAppendFailed(SHARD, batch.nonce, NOW_MS + 5);
+      const again = batchOf(coordinator.tick(NOW_MS + 200));
       const records = [record(0, batch), record(1, again)];
-      const read = own.onRead(SHARD, 0, records, NOW_MS + 201);
+      const read = coordinator.onRead(SHARD, 0, records, NOW_MS + 201);
       assert.equal(kinds(read), ["dispatch"]);
     });
   });
 
   describe("during a log outage", () => {
-    // Nothing can be appended or read. The wait is bounded. Another entry may
-    // have claimed the caller's key, so nobody here can say "not run" of it; a
-    // key that was made here is known to nobody else.
-    it("refuse truthfully after a bounded wait", () => {
-      const own = entry("e1");
-      own.begin(request(), NOW_MS);
-      own.begin(request({ call: "b", isOwnKey: true }), NOW_MS);
-      assert.equal(kinds(own.tick(NOW_MS + WAIT_MS - 1)), []);
-      const [first, second] = own.tick(NOW_MS + WAIT_MS);
+    // Nothing can be appended or read. Another entry may have claimed a caller's
+    // key, so its outcome is unknown; a key that this entry generated can't have
+    // been used elsewhere, so "not run" is correct.
+    it("refuses with the correct outcome after a bounded wait", () => {
+      const coordinator = createEntry("e1");
+      coordinator.begin(request(), NOW_MS);
+      coordinator.begin(request({ call: "b", isOwnKey: true }), NOW_MS);
+      assert.equal(kinds(coordinator.tick(NOW_MS + WAIT_MS - 1)), []);
+      const [first, second] = coordinator.tick(NOW_MS + WAIT_MS);
       assert.is(outcomeOf([first]), "unknown");
       assert.is(outcomeOf([second]), "not-run");
     });
 
-    // The claim of a call that was given up lands after the outage. Its caller
-    // was told "unknown" and may repeat elsewhere; the attempt must neither be
-    // dispatched any more nor hold the repeat up.
-    it("release a claim that lands too late", () => {
-      const own = entry("e1");
-      const batch = batchOf(own.begin(request(), NOW_MS));
-      own.tick(NOW_MS + WAIT_MS);
-      const landed = own.onRead(SHARD, 0, [record(0, batch)], NOW_MS + WAIT_MS);
+    // The claim of a call that was refused during the outage is appended after
+    // it. The caller got "unknown" and may repeat the call elsewhere, so the
+    // attempt must not be dispatched and must not block the repeat.
+    it("releases a claim that is appended too late", () => {
+      const coordinator = createEntry("e1");
+      const batch = batchOf(coordinator.begin(request(), NOW_MS));
+      coordinator.tick(NOW_MS + WAIT_MS);
+      const landed = coordinator.onRead(
+        SHARD,
+        0,
+        [record(0, batch)],
+        NOW_MS + WAIT_MS,
+      );
       assert.not.ok(kinds(landed).includes("dispatch"));
-      const late = own.tick(NOW_MS + WAIT_MS + 100);
+      const late = coordinator.tick(NOW_MS + WAIT_MS + 100);
       assert.equal(kinds(late), ["append"]);
       assert.is(batchOf(late).entries[0].kind, "release");
     });
   });
 
   describe("when the entry that holds a claim has died", () => {
-    // It died between reading its claim and dispatching. Its agent, asked after
-    // a grace time, writes a tombstone, and only then the repeat may run.
-    it("a repeat runs the call after the agent's tombstone", () => {
-      const [dead, own] = [entry("e1"), entry("e2")];
-      const claimed = record(0, batchOf(dead.begin(request(), NOW_MS)));
-      own.onRead(SHARD, 0, [claimed], NOW_MS);
-      const [ask] = own.begin(request(), NOW_MS);
+    // It died between reading its claim and the dispatch. After the grace time
+    // its agent writes a tombstone, and only then may the repeat run.
+    it("runs a repeat after the agent's tombstone", () => {
+      const [stopped, coordinator] = [createEntry("e1"), createEntry("e2")];
+      const claimed = record(0, batchOf(stopped.begin(request(), NOW_MS)));
+      coordinator.onRead(SHARD, 0, [claimed], NOW_MS);
+      const [ask] = coordinator.begin(request(), NOW_MS);
       assert.is(ask.kind === "ask" && ask.tombstone, false);
-      own.onAgentAnswer("a", { kind: "waiting" }, NOW_MS);
-      const [again] = own.tick(NOW_MS + START_GRACE_MS);
+      coordinator.onAgentAnswer("a", { kind: "waiting" }, NOW_MS);
+      const [again] = coordinator.tick(NOW_MS + START_GRACE_MS);
       assert.is(again.kind === "ask" && again.tombstone, true);
       const answer = { kind: "tombstoned" } as const;
       const laterMs = NOW_MS + START_GRACE_MS;
-      const batch = batchOf(own.onAgentAnswer("a", answer, laterMs));
+      const batch = batchOf(coordinator.onAgentAnswer("a", answer, laterMs));
       const entries = batch.entries.map(({ kind }) => kind);
       assert.equal(entries, ["release", "claim"]);
-      const read = own.onRead(SHARD, 0, [record(1, batch)], laterMs);
+      const read = coordinator.onRead(SHARD, 0, [record(1, batch)], laterMs);
       assert.equal(kinds(read), ["dispatch"]);
     });
 
-    // The agent died as well and came back: it can't know what the incarnation
-    // before it had started.
-    it("says unknown when the agent is of another incarnation", () => {
-      const [dead, own] = [entry("e1"), entry("e2")];
-      const claimed = record(0, batchOf(dead.begin(request(), NOW_MS)));
-      own.onRead(SHARD, 0, [claimed], NOW_MS);
-      own.begin(request(), NOW_MS);
+    // The agent restarted as well and doesn't know which attempts its previous
+    // incarnation started.
+    it("refuses with an unknown outcome after the agent restarted", () => {
+      const [stopped, coordinator] = [createEntry("e1"), createEntry("e2")];
+      const claimed = record(0, batchOf(stopped.begin(request(), NOW_MS)));
+      coordinator.onRead(SHARD, 0, [claimed], NOW_MS);
+      coordinator.begin(request(), NOW_MS);
       const answer = { kind: "other-incarnation" } as const;
-      assert.is(outcomeOf(own.onAgentAnswer("a", answer, NOW_MS)), "unknown");
+      assert.is(
+        outcomeOf(coordinator.onAgentAnswer("a", answer, NOW_MS)),
+        "unknown",
+      );
     });
   });
 
   describe("when every backend server refuses a call", () => {
-    // The entry is out of time and its attempt never started. "Not run" must
-    // stay true, so the key is closed in the log before the caller is told.
-    it("close its key before they say not run", () => {
-      const own = entry("e1");
-      const batch = batchOf(own.begin(request(), NOW_MS));
-      own.onRead(SHARD, 0, [record(0, batch)], NOW_MS);
+    // The wait has expired and the attempt never started. "Not run" must remain
+    // correct, so the key is closed in the log before the caller is answered.
+    it("closes its key before refusing it as not run", () => {
+      const coordinator = createEntry("e1");
+      const batch = batchOf(coordinator.begin(request(), NOW_MS));
+      coordinator.onRead(SHARD, 0, [record(0, batch)], NOW_MS);
       const lateMs = NOW_MS + WAIT_MS;
-      const refused = own.onRefused("a", lateMs);
+      const refused = coordinator.onRefused("a", lateMs);
       assert.equal(kinds(refused), ["append"]);
       const close = record(1, batchOf(refused));
-      const told = own.onRead(SHARD, 0, [close], lateMs);
+      const told = coordinator.onRead(SHARD, 0, [close], lateMs);
       assert.is(outcomeOf(told), "not-run");
-      const repeat = own.begin(request({ call: "b" }), lateMs);
+      const repeat = coordinator.begin(request({ call: "b" }), lateMs);
       assert.is(outcomeOf(repeat), "not-run");
     });
   });
 
-  describe("of a reader whose log was trimmed", () => {
+  describe("when the log was trimmed unread", () => {
     // A claim of the key may have been trimmed before this entry read it.
-    it("refuse an older key with an unknown outcome", () => {
-      const own = entry("e1");
+    it("refuses an older key with an unknown outcome", () => {
+      const coordinator = createEntry("e1");
       const laterMs = NOW_MS + 1_800_000;
-      own.onRead(SHARD, 5, [], laterMs);
-      assert.is(outcomeOf(own.begin(request(), laterMs)), "unknown");
+      coordinator.onRead(SHARD, 5, [], laterMs);
+      assert.is(outcomeOf(coordinator.begin(request(), laterMs)), "unknown");
     });
   });
 
-  it("commit many calls by one append", () => {
-    const own = entry("e1", 20);
-    own.begin(request({ call: "first" }), NOW_MS);
+  it("commits many calls with one append", () => {
+    const coordinator = createEntry("e1", 20);
+    coordinator.begin(request({ call: "first" }), NOW_MS);
     for (let call = 0; call < 100; call += 1) {
-      own.begin(request({ call: `call-${call}` }), NOW_MS);
+      coordinator.begin(request({ call: `call-${call}` }), NOW_MS);
     }
-    const later = own.onAppendAnswered(SHARD, "e1.1-1", NOW_MS + 60);
+    const later = coordinator.onAppendAnswered(SHARD, "e1.1-1", NOW_MS + 60);
     assert.is(batchOf(later).entries.length, 100);
   });
 
-  it("keep the accounts apart that send one key", () => {
-    const own = entry("e1");
-    const batch = batchOf(own.begin(request(), NOW_MS));
-    own.onRead(SHARD, 0, [record(0, batch)], NOW_MS);
+  it("keeps equal keys of different accounts apart", () => {
+    const coordinator = createEntry("e1");
+    const batch = batchOf(coordinator.begin(request(), NOW_MS));
+    coordinator.onRead(SHARD, 0, [record(0, batch)], NOW_MS);
     const other = { account: "mains", key: KEY };
-    assert.is(own.statusOf(other).kind, "free");
+    assert.is(coordinator.statusOf(other).kind, "free");
   });
 });
--- a/tests/expertmap/group-site.ts
+++ b/tests/expertmap/group-site.ts
@@ -1,4 +1,4 @@
-/** A group on loopback: engines, weight store, log, list, and its agents. */
+/** A group on loopback: agents, engines, weight store, log and VM list. */
 import { Server } from "@grpc/grpc-js";
 import {
   createEvenMap,
@@ -55,13 +55,13 @@
   readonly engines: EngineGroup;
   readonly interfaces = new Map<string, EngineInterface>();
   readonly agents = new Map<string, SiteAgent>();
-  private readonly owned: AsyncDisposable[] = [];
+  private readonly standIns: AsyncDisposable[] = [];
   private readonly addresses = new Map<string, string>();
   private readonly stopSteps: () => void;
   private readonly configuration: Configuration;
   private vmList = "";
   private log = "";
-  private changeList: (names: readonly string[]) => void = () => undefined;
+  private changeVmList: (names: readonly string[]) => void = () => undefined;
   store!: WeightStoreStandIn;
 
   private constructor(private readonly options: GroupSiteOptions) {
@@ -98,18 +98,18 @@
     return site;
   }
 
-  /** A map that differs from the even one in every layer. */
-  otherMap(turn: number): ExpertMap {
+  /** A map that differs from the initial even map in every layer. */
+  otherMap(shift: number): ExpertMap {
     const [group] = this.configuration.groups;
     if (group.kind !== "model") throw new TypeError("no model group");
     const { version, shape, slots } = createEvenMap(group);
     const other = Array.from(slots, (expert) => {
-      return expert < 0 ? expert : (expert + turn) % shape.experts;
+      return expert < 0 ? expert : (expert + shift) % shape.experts;
     });
     return { version, shape, slots: other };
   }
 
-  /** Starts an agent beside the engine; it may be its second. */
+  /** Starts an agent for an engine, possibly as a replacement. */
   async startAgent(name: string): Promise<void> {
     const rank = Number(name.slice(1));
     const engineAddress = this.addresses.get(name) ?? "";
@@ -126,15 +126,15 @@
     server.addService(ExpertMapsService, maps.service);
     const address = await bindServer(server, settings);
     this.addresses.set(`${name}-peers`, address);
-    const ending = new AbortController();
+    const stopping = new AbortController();
     const running = runTask({
       name: "expert-maps",
       emit: context.emit,
-      signal: ending.signal,
+      signal: stopping.signal,
       run: (signal) => maps.run(signal),
     });
     const stop = async (): Promise<void> => {
-      ending.abort();
+      stopping.abort();
       server.forceShutdown();
       await running;
       await maps[Symbol.asyncDispose]();
@@ -145,7 +145,7 @@
         .filter((event) => event.number === number)
         .map((event) => event.fields);
     this.agents.set(name, { name, maps, events, stop });
-    this.showList();
+    this.updateVmList();
   }
 
   agent(name: string): SiteAgent {
@@ -154,8 +154,8 @@
     return agent;
   }
 
-  showList(): void {
-    this.changeList([...this.agents.keys()]);
+  updateVmList(): void {
+    this.changeVmList([...this.agents.keys()]);
   }
 
   /** Steps whose ranks ran on different maps. */
@@ -170,9 +170,9 @@
   }
 
   /**
-   * Waits until every member steps on this version and every agent knows it.
-   * An agent hears of its engine's group one look later than the engine makes
-   * its first step, and refuses proposals until then.
+   * Waits until every member steps on this version and every agent knows it. An
+   * agent learns of its engine's group only at the next read after the engine's
+   * first step, and refuses proposals until then.
    */
   async settled(version: number): Promise<void> {
     await waitFor(() => {
@@ -191,7 +191,7 @@
   async [Symbol.asyncDispose](): Promise<void> {
     this.stopSteps();
     for (const { stop } of this.agents.values()) await stop();
-    for (const item of this.owned) await item[Symbol.asyncDispose]();
+    for (const item of this.standIns) await item[Symbol.asyncDispose]();
   }
 
   private async start(): Promise<void> {
@@ -200,10 +200,10 @@
     this.store = await startWeightStore({ bytesPerExpert, bytesPerSecond });
     const list = await startVmList();
     const log = await startLog();
-    this.owned.push(this.store, list, log);
+    this.standIns.push(this.store, list, log);
     this.vmList = list.address;
     this.log = log.address;
-    this.changeList = (names) => {
+    this.changeVmList = (names) => {
       list.change(
         names.map((name) => ({
           name,
@@ -236,7 +236,7 @@
       extension: engine.answer,
     });
     this.addresses.set(name, server.address);
-    this.owned.push(server);
+    this.standIns.push(server);
   }
 
   private agentSettings(
--- a/tests/expertmap/recovery.test.ts
+++ b/tests/expertmap/recovery.test.ts
@@ -1,10 +1,10 @@
 import * as assert from "uvu/assert";
 import {
   createEvenMap,
-  GroupFormer,
+  GroupFormation,
   hashMap,
   ignoreEvents,
-  Staging,
+  MapStaging,
   StagingFetch,
   WeightFetch,
   weightsOf,
@@ -26,8 +26,8 @@
 
 const engineA = { member: "a", engine: "a#1", bytesPerExpert: 1 };
 
-/** An engine that remembers no group. */
-const unformed = {
+/** Sealed reply of an engine that remembers no group. */
+const unformedReply = {
   kind: "sealed",
   group: null,
   version: 0,
@@ -37,8 +37,8 @@
   rejected: false,
 } as const;
 
-function createFormer(): GroupFormer {
-  return GroupFormer.create(
+function createFormation(): GroupFormation {
+  return GroupFormation.create(
     {
       member: "a",
       agent: "a#1",
@@ -61,55 +61,59 @@
 }
 
 describe("recovery of a group", () => {
-  // Two members joined different formations and each looks whole by itself.
-  // Their steps stand still, and without a comparison they would for ever.
-  it("forms anew when another member stands in another incarnation", () => {
-    const former = createFormer();
-    former.setMembers(members);
+  // Two members joined different formations. Each one's state looks complete, but
+  // both are stalled; without comparing incarnations they would stay stalled.
+  it("starts a formation when a stalled member is in another incarnation", () => {
+    const groupFormation = createFormation();
+    groupFormation.setMembers(members);
     const state = joinedRegister().state(0);
     const sent: string[] = [];
     const run = (until: number): void => {
       for (let now = 0; now <= until; now += 100) {
-        former.tick(state, now, (_to, { kind }) => sent.push(kind));
+        groupFormation.tick(state, now, (_to, { kind }) => sent.push(kind));
       }
     };
     run(2_000);
     assert.not(sent.includes("seal"));
-    former.heardStanding("b", second);
+    groupFormation.receiveStanding("b", second);
     run(4_000);
     assert.ok(sent.includes("seal"));
   });
 
-  // A group that forms anew for nothing ends each proposal in it.
-  it("doesn't form anew at once when its own engine's state is from before", () => {
-    const former = createFormer();
-    former.setMembers(members);
-    const before = MapRegister.create(engineA).state(0);
+  // After a formation, the last state read from the own engine may predate it. A
+  // needless second formation would end every proposal in the new group.
+  it("starts no second formation on an outdated state of its own engine", () => {
+    const groupFormation = createFormation();
+    groupFormation.setMembers(members);
+    const outdatedState = MapRegister.create(engineA).state(0);
     const sent: string[] = [];
     let now = 0;
     const run = (durationMs: number): void => {
       for (const until = now + durationMs; now < until; now += 20) {
-        former.tick(before, now, (_to, { kind }) => sent.push(kind));
+        groupFormation.tick(outdatedState, now, (_to, { kind }) =>
+          sent.push(kind),
+        );
       }
     };
     run(1_000);
     assert.ok(sent.includes("seal"));
     const formation = { number: 1, author: "a#1" };
     for (const { member } of members) {
-      former.receive(member, { ...unformed, formation }, now);
+      groupFormation.receive(member, { ...unformedReply, formation }, now);
     }
     run(100);
     for (const { member } of members) {
-      former.receive(member, { kind: "joined", formation }, now);
+      groupFormation.receive(member, { kind: "joined", formation }, now);
     }
     sent.length = 0;
     run(400);
     assert.not(sent.includes("seal"));
   });
 
-  // An engine that is armed is sealed to a formation which takes another map.
-  // If it took no weights for it, it could never join and the group stands.
-  it("lets an armed engine stage for a formation, and hold meanwhile", () => {
+  // An armed engine is sealed to a formation that chooses another map. If it
+  // didn't stage that map's weights, it could never join and the group would
+  // stall.
+  it("lets an armed engine stage for a formation while it holds", () => {
     const register = joinedRegister();
     register.call({ kind: "stage", mapHash: "next", weights }, 0);
     const proposal = {
@@ -130,13 +134,13 @@
     assert.ok(register.mustHold(0));
   });
 
-  // An engine starts again after its weights were fetched, and names the same
-  // map as staged. Its agent must fetch again, or the engine never has them.
-  it("asks again what an engine lacks that was thought fetched", () => {
-    const staging = Staging.create("a", "a#1");
+  // An engine restarts after its weights were fetched and stages the same map
+  // again. Unless its agent detects this, the weights are never fetched again.
+  it("stages again when a restarted engine lacks fetched weights", () => {
+    const staging = MapStaging.create("a", "a#1");
     const settings = { bytesPerExpert: 1, bytesPerSecond: 1000, partBytes: 1 };
     const fetch = WeightFetch.create(settings, () => 0);
-    const tied = StagingFetch.create("a", staging, fetch);
+    const stagingFetch = StagingFetch.create("a", staging, fetch);
     const state = joinedRegister().state(0);
     staging.stage(
       "a",
@@ -144,10 +148,10 @@
       state,
       0,
     );
-    tied.start({ kind: "stage", mapHash, weights }, []);
+    stagingFetch.start({ kind: "stage", mapHash, weights }, []);
     const lacking = { ...state, stagingHash: mapHash, stagingComplete: false };
-    assert.is(tied.resumeCall(lacking)?.kind, "stage");
+    assert.is(stagingFetch.resumeCall(lacking)?.kind, "stage");
     const whole = { ...lacking, stagingComplete: true };
-    assert.is(tied.resumeCall(whole), undefined);
+    assert.is(stagingFetch.resumeCall(whole), undefined);
   });
 });
--- a/tests/expertmap/silent-peer.test.ts
+++ b/tests/expertmap/silent-connection.test.ts
@@ -23,13 +23,11 @@
 );
 
 describe("messages between the agents of a group", () => {
-  /*
-   * Operators see proposals of maps end with 1602, again and again: the relay
-   * between two agents has lost track of their connection. It stays open, takes
-   * every message and delivers none, while a new connection would work. Sending
-   * again on the old one, as for a lost message, never helps.
-   */
-  it("arrive again after their connection fell silent", async () => {
+  // A relay between two agents lost the state of their connection: it accepts
+  // every message and delivers none, while a new connection would work. Unless
+  // the connection is replaced, resending never helps, and map proposals keep
+  // failing with 1602.
+  it("arrive again after their connection stopped delivering", async () => {
     let delivered = 0;
     const server = new Server();
     server.addService(ExpertMapsService, {
--- a/tests/expertmap/sockets.test.ts
+++ b/tests/expertmap/sockets.test.ts
@@ -12,7 +12,7 @@
 };
 
 describe("expert maps over real sockets", () => {
-  it("forms the group, switches the map and keeps every step on one", async () => {
+  it("forms the group, switches the map and runs every step on one map", async () => {
     await using site = await GroupSite.create(options);
     await site.settled(1);
     const { maps } = site.agent("r0");
@@ -25,14 +25,14 @@
     assert.equal(site.mixedSteps(), []);
     for (const agent of site.agents.values()) {
       assert.equal(agent.events(104), []);
-      assert.equal(agent.events(164), [], "a normal switch holds nobody");
+      assert.equal(agent.events(164), [], "a normal switch holds no rank");
     }
   });
 
-  // The store fails while weights are on their way. The proposal waits; once
-  // the store is back the fetch goes on from the bytes that are staged, and the
-  // map comes into force with nothing fetched twice.
-  it("goes on with the weights when the store comes back", async () => {
+  // The store fails during a fetch. The proposal waits; once the store is back,
+  // the fetch resumes from the staged bytes, and the map takes effect without
+  // any byte fetched twice.
+  it("resumes the weight fetch after a store outage", async () => {
     await using site = await GroupSite.create(options);
     await site.settled(1);
     const before = site.store.servedBytes();
@@ -51,10 +51,10 @@
     assert.equal(site.mixedSteps(), []);
   });
 
-  // The agent of one rank dies after the proposal was made and another takes
-  // its place, which knows nothing of it. The proposal ends one way for all,
-  // and the group steps on.
-  it("settles a proposal although an agent is replaced in it", async () => {
+  // The agent of one rank dies after a proposal was made and is replaced by one
+  // that doesn't know of it. All members must reach the same outcome, and the
+  // group must continue to step.
+  it("decides a proposal although an agent is replaced during it", async () => {
     await using site = await GroupSite.create(options);
     await site.settled(1);
     const { maps } = site.agent("r0");
@@ -73,9 +73,9 @@
     assert.equal(site.mixedSteps(), []);
   });
 
-  // An engine starts again and has forgotten its map; the others hold their
-  // next step for it. The group forms anew on the map that was in force.
-  it("forms anew with the map in force when an engine starts again", async () => {
+  // An engine restarts without its map, and the others hold their next step. The
+  // group must form again on the map that was in force.
+  it("forms again on the map in force when an engine restarts", async () => {
     await using site = await GroupSite.create(options);
     await site.settled(1);
     const { maps } = site.agent("r0");
--- a/tests/expertmap/parts.test.ts
+++ b/tests/expertmap/steps-weights-members.test.ts
@@ -2,7 +2,7 @@
 import {
   chooseMembers,
   lowestBallot,
-  StepCheck,
+  StepChecker,
   WeightFetch,
   type EngineMapState,
   type StepReport,
@@ -50,18 +50,18 @@
   return { group, step, rank: 3, version, mapHash, durationMs: 5, counts: [] };
 };
 
-describe("check of step reports", () => {
-  it("accepts the committed map from its step on, and the old one before", () => {
-    const check = StepCheck.create();
+describe("step checker", () => {
+  it("accepts the old map before the switch and the committed map from it on", () => {
+    const check = StepChecker.create();
     check.observe(committed);
     const reports = [report(119, 1, "one"), report(120, 2, "two")];
     assert.equal(check.check(reports), []);
   });
 
-  // A rank runs the step of the switch on the old map, or one before it on the
-  // new: the ranks' tokens would meet the wrong experts.
+  // A rank runs the step of the switch on the old map, or an earlier step on the
+  // new map. Tokens would then be routed to the wrong experts.
   it("reports a rank that ran on another map", () => {
-    const check = StepCheck.create();
+    const check = StepChecker.create();
     check.observe(committed);
     const late = check.check([report(120, 1, "one")]);
     assert.match(late[0], /rank 3 step 120/);
@@ -69,22 +69,22 @@
     assert.is(check.check([report(121, 2, "other")]).length, 1);
   });
 
-  it("judges a report ahead of what is known once it is known", () => {
-    const check = StepCheck.create();
+  it("checks a report of an unknown version once the version is known", () => {
+    const check = StepChecker.create();
     check.observe(running);
     assert.equal(check.check([report(120, 2, "other")]), []);
     assert.is(check.observe(committed).length, 1);
   });
 
   it("reports an engine that switched at another step", () => {
-    const check = StepCheck.create();
+    const check = StepChecker.create();
     check.observe(committed);
     const early = { ...running, version: 2, mapHash: "two", since: 110 };
     assert.is(check.observe(early).length, 1);
   });
 });
 
-describe("fetch of weights", () => {
+describe("weight fetch", () => {
   const settings = { bytesPerExpert: 100, bytesPerSecond: 1000, partBytes: 60 };
   const weight = { rank: 0, layer: 0, expert: 7 };
 
@@ -95,43 +95,43 @@
   }
 
   const next = (fetch: WeightFetch, now: number): WeightPart => {
-    const part = fetch.next(now);
+    const part = fetch.nextPart(now);
     if (part === undefined) throw new TypeError("no part is due");
     return part;
   };
 
-  it("goes on from what the engine holds, and ends with the last byte", () => {
+  it("resumes from the bytes that the engine holds and ends with the last byte", () => {
     const fetch = started(60);
     const part = next(fetch, 0);
     assert.equal(part, { weight, offset: 60, length: 40 });
-    fetch.arrived(part, 100);
-    assert.ok(fetch.idle);
+    fetch.partArrived(part, 100);
+    assert.ok(fetch.isIdle);
     assert.is(fetch.totalBytes, 40);
   });
 
-  it("keeps to its share of the store's rate", () => {
+  it("stays within its share of the store's rate", () => {
     const fetch = started(0);
-    fetch.arrived(next(fetch, 0), 60);
-    assert.is(fetch.next(59), undefined);
+    fetch.partArrived(next(fetch, 0), 60);
+    assert.is(fetch.nextPart(59), undefined);
     assert.is(next(fetch, 60).offset, 60);
   });
 
-  it("waits longer after each failure, and as long as the store asks", () => {
+  it("backs off after each failure and respects the store's retry delay", () => {
     const fetch = started(0);
-    fetch.failed(next(fetch, 0), 0, 0);
-    assert.is(fetch.next(99), undefined);
-    fetch.failed(next(fetch, 100), 100, 0);
-    assert.is(fetch.next(299), undefined);
-    fetch.failed(next(fetch, 300), 300, 5000);
-    assert.is(fetch.next(5299), undefined);
+    fetch.partFailed(next(fetch, 0), 0, 0);
+    assert.is(fetch.nextPart(99), undefined);
+    fetch.partFailed(next(fetch, 100), 100, 0);
+    assert.is(fetch.nextPart(299), undefined);
+    fetch.partFailed(next(fetch, 300), 300, 5000);
+    assert.is(fetch.nextPart(5299), undefined);
   });
 
-  // The engine started again and doesn't take the part. Fetched again and
-  // again, the same bytes would use up the store's rate for nothing.
-  it("stops when the engine takes nothing", () => {
+  // The engine restarted and doesn't accept the part. Fetching the same bytes
+  // forever would waste the store's rate.
+  it("stops when the engine accepts nothing", () => {
     const fetch = started(60);
-    fetch.arrived(next(fetch, 0), 0);
-    assert.ok(fetch.idle);
+    fetch.partArrived(next(fetch, 0), 0);
+    assert.ok(fetch.isIdle);
   });
 });
 
@@ -148,19 +148,19 @@
     present: Parameters<typeof chooseMembers>[2],
   ) => chooseMembers(candidates, 2, present);
 
-  it("stay while they are listed although another offers their ranks", () => {
+  it("stay while they are listed even if another offers their ranks", () => {
     const present = [one, two];
     assert.equal(names([spare, one, two], present), ["one", "two"]);
   });
 
-  it("give way when they leave and another offers their ranks", () => {
+  it("are replaced when they leave and another offers their ranks", () => {
     const leaving = { ...two, leaving: true };
     const present = [one, two];
     assert.equal(names([one, leaving], present), ["one", "two"]);
     assert.equal(names([one, leaving, spare], present), ["a-spare", "one"]);
   });
 
-  it("aren't chosen while a rank has nobody", () => {
+  it("aren't chosen while a rank has no candidate", () => {
     assert.is(names([one], [one, two]), undefined);
   });
 });
--- a/tests/expertmap/votes.test.ts
+++ b/tests/expertmap/votes.test.ts
@@ -15,14 +15,14 @@
 
 const group = { number: 1, author: "a#1" };
 const shape = { ranks: 2, layers: 1, experts: 4, slotsPerRank: 2 };
-const present = createEvenMap(shape);
-const next = { version: 2, shape, slots: [3, 2, 1, 0] };
+const currentMap = createEvenMap(shape);
+const nextMap = { version: 2, shape, slots: [3, 2, 1, 0] };
 
 const proposal: Proposal = {
   id: { number: 1, author: "a#1" },
   group,
   version: 2,
-  mapHash: hashMap(next),
+  mapHash: hashMap(nextMap),
   step: 100,
   participants: [
     { member: "a", agent: "a#1" },
@@ -30,13 +30,13 @@
   ],
 };
 
-const quiet: EngineMapState = {
+const undecidedState: EngineMapState = {
   engine: "a",
   group,
   members: [],
   sealed: group,
   version: 1,
-  mapHash: hashMap(present),
+  mapHash: hashMap(currentMap),
   since: 0,
   origin: null,
   armed: null,
@@ -50,28 +50,34 @@
 };
 
 describe("vote in the register", () => {
-  it("is open before anything was written", () => {
-    assert.is(voteFromRegister(quiet, proposal), undefined);
+  it("is undecided before anything was written", () => {
+    assert.is(voteFromRegister(undecidedState, proposal), undefined);
   });
 
-  it("is a yes while armed and once in force", () => {
-    const armed = { ...quiet, armed: { proposal, committed: false } };
-    assert.is(voteFromRegister(armed, proposal), true);
-    const inForce = { ...quiet, version: 2, origin: proposal.id };
+  it("is a yes while armed and once the map is in force", () => {
+    const armedState = {
+      ...undecidedState,
+      armed: { proposal, committed: false },
+    };
+    assert.is(voteFromRegister(armedState, proposal), true);
+    const inForce = { ...undecidedState, version: 2, origin: proposal.id };
     assert.is(voteFromRegister(inForce, proposal), true);
   });
 
-  it("is a no once refused, overtaken or promised to a formation", () => {
-    const refused = { ...quiet, floor: proposal.id };
-    const overtaken = { ...quiet, version: 2 };
-    const promised = { ...quiet, sealed: { number: 2, author: "b#1" } };
-    for (const state of [refused, overtaken, promised]) {
+  it("is a no once refused, superseded or sealed to a formation", () => {
+    const refusedState = { ...undecidedState, floor: proposal.id };
+    const supersededState = { ...undecidedState, version: 2 };
+    const sealedState = {
+      ...undecidedState,
+      sealed: { number: 2, author: "b#1" },
+    };
+    for (const state of [refusedState, supersededState, sealedState]) {
       assert.is(voteFromRegister(state, proposal), false);
     }
   });
 
-  it("tells nothing about another incarnation or an older version", () => {
-    const later = { ...quiet, version: 3, floor: proposal.id };
+  it("is unknown for another incarnation or an older version", () => {
+    const later = { ...undecidedState, version: 3, floor: proposal.id };
     const elsewhere = { ...later, group: { number: 2, author: "b#1" } };
     assert.is(voteFromRegister(later, proposal), undefined);
     assert.is(voteFromRegister(elsewhere, proposal), undefined);
@@ -79,17 +85,17 @@
 });
 
 describe("outcome of the votes", () => {
-  it("stays open while a vote is missing", () => {
+  it("stays undecided while a vote is missing", () => {
     assert.is(outcomeOf(proposal, new Map([["a", true]])), undefined);
   });
 
-  it("is an abort with one no although another vote is missing", () => {
+  it("is an abort after one no even if another vote is missing", () => {
     assert.is(outcomeOf(proposal, new Map([["b", false]])), "aborted");
   });
 
-  // A member commits on the yes of all. A no that comes afterwards would turn
-  // the outcome round at whoever hears it, and ranks would use two maps.
-  it("reports a no that contradicts a commit and doesn't take it in", () => {
+  // A member commits once all voted yes. If a later no were accepted, its
+  // receivers would abort, and ranks would use different maps.
+  it("reports and ignores a no that contradicts a commit", () => {
     const known = new Map([
       ["a", true],
       ["b", true],
@@ -100,50 +106,61 @@
   });
 });
 
-describe("map of a group that forms anew", () => {
-  const initial = { version: 1, map: present };
+describe("map choice of a formation", () => {
+  const initial = { version: 1, map: currentMap };
   const formation = { number: 2, author: "a#1" };
-  const open: SealedMessage = {
+  const unarmedReply: SealedMessage = {
     kind: "sealed",
     formation,
     group,
     version: 1,
-    map: present,
+    map: currentMap,
     armed: null,
     armedMap: null,
     rejected: false,
   };
-  const armed = { ...open, armed: proposal, armedMap: next };
-  const fresh = { ...open, group: null, version: 0, map: null };
-
-  // A member dies after all voted yes; the others can't know whether it had
-  // told the commit. They are all armed, so it may have been committed.
-  it("goes forward when every survivor voted yes", () => {
-    assert.equal(chooseMap([armed, fresh], initial), { version: 2, map: next });
+  const armedReply = { ...unarmedReply, armed: proposal, armedMap: nextMap };
+  const unformedReply = { ...unarmedReply, group: null, version: 0, map: null };
+
+  // A member dies after all voted yes. The survivors are all armed and can't know
+  // whether it had already sent the commit, so the commit must be assumed.
+  it("is the proposed map when every survivor voted yes", () => {
+    assert.equal(chooseMap([armedReply, unformedReply], initial), {
+      version: 2,
+      map: nextMap,
+    });
   });
 
-  it("goes back when one survivor gave no yes, which rules a commit out", () => {
-    assert.is(chooseMap([armed, open, fresh], initial).version, 1);
+  it("is the old map when one survivor didn't vote yes, which rules out a commit", () => {
+    assert.is(
+      chooseMap([armedReply, unarmedReply, unformedReply], initial).version,
+      1,
+    );
   });
 
-  it("goes back when a vote against the proposal is known", () => {
-    const rejected = { ...armed, rejected: true };
-    assert.is(chooseMap([armed, rejected], initial).version, 1);
+  it("is the old map when a no to the proposal is known", () => {
+    const rejected = { ...armedReply, rejected: true };
+    assert.is(chooseMap([armedReply, rejected], initial).version, 1);
   });
 
-  it("keeps a map that is in force at only one survivor", () => {
-    const switched = { ...open, version: 2, map: next };
-    assert.is(chooseMap([armed, switched], initial).map, next);
+  it("is the new map even if it is in force at only one survivor", () => {
+    const switched = { ...unarmedReply, version: 2, map: nextMap };
+    assert.is(chooseMap([armedReply, switched], initial).map, nextMap);
   });
 
-  it("listens to the latest incarnation alone", () => {
-    const later = { ...open, group: formation, version: 5, map: next };
-    const stale = { ...open, version: 7 };
+  it("depends only on the latest incarnation", () => {
+    const later = {
+      ...unarmedReply,
+      group: formation,
+      version: 5,
+      map: nextMap,
+    };
+    const stale = { ...unarmedReply, version: 7 };
     assert.is(chooseMap([stale, later], initial).version, 5);
   });
 
-  it("starts from the recorded map when no engine remembers one", () => {
-    const recorded = { version: 9, map: next };
-    assert.is(chooseMap([fresh, fresh], recorded), recorded);
+  it("is the recorded map when no engine remembers one", () => {
+    const recorded = { version: 9, map: nextMap };
+    assert.is(chooseMap([unformedReply, unformedReply], recorded), recorded);
   });
 });
