--- a/fuzz/configuration/configuration.ts
+++ b/fuzz/configuration/configuration.ts
@@ -1,15 +1,15 @@
 /**
- * Fuzz target `configuration`: every reader comes to the same verdicts as a
- * reading of the whole log, versions only rise, and nothing accepted reverts.
+ * Fuzz target `configuration`: every reader reaches the same verdicts as an
+ * oracle that reads the whole log, and versions in force never fall.
  */
 import fc from "fast-check";
 import { acceptanceRules, type AcceptanceRules } from "../../src/internal.js";
 import { runHistories } from "../run-property.js";
 import type { FuzzTarget } from "../target.js";
-import { ConfigurationWorld, READERS } from "./world.js";
+import { ConfigurationSimulation, READER_COUNT } from "./simulation.js";
 
-const LONGEST_HISTORY = 40;
-const MUTATION_LIMIT = 2_000;
+const MAX_HISTORY_STEPS = 40;
+const MAX_MUTATION_RUNS = 2_000;
 
 type Command =
   | {
@@ -27,7 +27,7 @@
   | { readonly kind: "trim"; readonly count: number }
   | { readonly kind: "outage"; readonly isDown: boolean };
 
-const reader = fc.nat({ max: READERS - 1 });
+const reader = fc.nat({ max: READER_COUNT - 1 });
 const kind = <K extends Command["kind"]>(value: K): fc.Arbitrary<K> =>
   fc.constant(value);
 
@@ -66,34 +66,34 @@
   },
 );
 
-function runCommand(world: ConfigurationWorld, step: Command): void {
+function runCommand(simulation: ConfigurationSimulation, step: Command): void {
   switch (step.kind) {
     case "publish":
-      world.publish(step.reader, step.formatVersion, step.isValid);
+      simulation.publish(step.reader, step.formatVersion, step.isValid);
       return;
     case "repeat":
-      world.repeat(step.back);
+      simulation.repeat(step.back);
       return;
     case "store-checkpoint":
-      world.storeCheckpoint(step.reader);
+      simulation.storeCheckpoint(step.reader);
       return;
     case "append-stored":
-      world.appendStored();
+      simulation.appendStored();
       return;
     case "adopt-stored":
-      world.adoptStored(step.reader);
+      simulation.adoptStored(step.reader);
       return;
     case "read":
-      world.read(step.reader);
+      simulation.read(step.reader);
       return;
     case "restart":
-      world.restart(step.reader);
+      simulation.restart(step.reader);
       return;
     case "trim":
-      world.trim(step.count);
+      simulation.trim(step.count);
       return;
     case "outage":
-      world.isDown = step.isDown;
+      simulation.isDown = step.isDown;
   }
 }
 
@@ -101,10 +101,10 @@
   rules: AcceptanceRules,
   steps: readonly Command[],
 ): readonly string[] {
-  const world = ConfigurationWorld.create(rules);
-  for (const step of steps) runCommand(world, step);
-  world.finish();
-  return world.violations;
+  const simulation = ConfigurationSimulation.create(rules);
+  for (const step of steps) runCommand(simulation, step);
+  simulation.finish();
+  return simulation.violations;
 }
 
 const { isNextLink } = acceptanceRules;
@@ -116,24 +116,24 @@
     isNextLink: (publication, offset, chain) =>
       publication.basedOn === null || isNextLink(publication, offset, chain),
   },
-  "checkpoint-with-gap": { ...acceptanceRules, isUsable: () => true },
+  "checkpoint-with-gap": { ...acceptanceRules, isCheckpointUsable: () => true },
   "invalid-newer-format-passed-over": {
     ...acceptanceRules,
-    linksWhenInvalid: () => false,
+    linksInvalidContent: () => false,
   },
 };
 
 export const configurationTarget: FuzzTarget = {
   name: "configuration",
   mutations: Object.fromEntries(
-    Object.keys(mutants).map((name) => [name, MUTATION_LIMIT]),
+    Object.keys(mutants).map((name) => [name, MAX_MUTATION_RUNS]),
   ),
   run: (settings) => {
     const { mutation } = settings;
     const rules = mutation === undefined ? acceptanceRules : mutants[mutation];
     if (rules === undefined) throw new RangeError(`no mutation ${mutation}`);
     const history = fc.array(command, {
-      maxLength: LONGEST_HISTORY,
+      maxLength: MAX_HISTORY_STEPS,
       size: "max",
     });
     return Promise.resolve(
--- a/fuzz/configuration/oracle.ts
+++ b/fuzz/configuration/oracle.ts
@@ -1,22 +1,25 @@
-/** The verdicts by a reading of the whole log that was never trimmed. */
+/** Oracle: computes the verdicts from the complete, untrimmed log. */
 import type { Publication } from "../../src/internal.js";
 
-/** What the target publishes in place of real configurations. */
+/** Content that the target publishes instead of real configurations. */
 export interface FuzzContent {
   readonly isValid: boolean;
   readonly value: number;
 }
 
-export interface OracleReading {
-  /** Verdict of each publication by its offset, as a newest release sees it. */
+export interface OracleResult {
+  /** Verdict of the newest release on each publication, by offset. */
   readonly verdicts: ReadonlyMap<number, "accepted" | "superseded" | "invalid">;
-  /** Versions in force after each offset at a release that knows a format. */
+  /**
+   * Version in force after an offset in a release that knows formats up to
+   * `newestFormat`; -1 if there is none.
+   */
   readonly versionAfter: (offset: number, newestFormat: number) => number;
 }
 
-export function readWhole(
+export function evaluateLog(
   log: readonly (Publication | undefined)[],
-): OracleReading {
+): OracleResult {
   const verdicts = new Map<number, "accepted" | "superseded" | "invalid">();
   const accepted: { offset: number; formatVersion: number }[] = [];
   let head: number | null = null;
--- a/fuzz/configuration/world.ts
+++ b/fuzz/configuration/simulation.ts
@@ -1,4 +1,7 @@
-/** Readers of two releases, operators and a log that trims and goes down. */
+/**
+ * Simulates readers of two releases, operators, and a log with trims and
+ * outages.
+ */
 import { Left, Right } from "purify-ts";
 import {
   acceptanceRules,
@@ -14,32 +17,36 @@
   type Checkpoint,
   type Configuration,
   type ConfigurationState,
-  type ExamineContent,
+  type ValidateContent,
   type LogRecord,
   type Publication,
   type Verdict,
 } from "../../src/internal.js";
-import { readWhole, type FuzzContent, type OracleReading } from "./oracle.js";
+import { evaluateLog, type FuzzContent, type OracleResult } from "./oracle.js";
 
-/** The last reader is of the newer release. */
-export const READERS = 3;
-const NEWER_FORMAT = 2;
+/** The last reader runs the newer release. */
+export const READER_COUNT = 3;
+const NEWER_FORMAT_VERSION = 2;
 
-const empty: Configuration = {
+const emptyConfiguration: Configuration = {
   profiles: [],
   accounts: [],
   groups: [],
   balance: { skewWeight: 0 },
 };
 
-const examine: ExamineContent = (content) => {
+const validate: ValidateContent = (content) => {
   const { isValid, value } = content as FuzzContent;
-  if (isValid) return Right({ ...empty, balance: { skewWeight: value } });
+  if (isValid)
+    return Right({ ...emptyConfiguration, balance: { skewWeight: value } });
   return Left([{ path: "", found: "", expected: "" }]);
 };
 
-const olderFormats = new Map([[BASELINE_FORMAT, examine]]);
-const newerFormats = new Map([...olderFormats, [NEWER_FORMAT, examine]]);
+const olderFormats = new Map([[BASELINE_FORMAT, validate]]);
+const newerFormats = new Map([
+  ...olderFormats,
+  [NEWER_FORMAT_VERSION, validate],
+]);
 
 interface Reader {
   readonly rules: AcceptanceRules;
@@ -48,7 +55,7 @@
   verdicts: readonly Verdict[];
 }
 
-export class ConfigurationWorld {
+export class ConfigurationSimulation {
   readonly violations: string[] = [];
   isDown = false;
   private readonly readers: readonly Reader[];
@@ -59,10 +66,10 @@
   private stored: Checkpoint | undefined;
 
   private constructor(rules: AcceptanceRules) {
-    this.readers = Array.from({ length: READERS }, (_, index) => {
-      const isNewer = index === READERS - 1;
+    this.readers = Array.from({ length: READER_COUNT }, (_, index) => {
+      const isNewer = index === READER_COUNT - 1;
       const formats = isNewer ? newerFormats : olderFormats;
-      const newestFormat = isNewer ? NEWER_FORMAT : BASELINE_FORMAT;
+      const newestFormat = isNewer ? NEWER_FORMAT_VERSION : BASELINE_FORMAT;
       const state = initialConfigurationState;
       return {
         rules: { ...rules, formats },
@@ -73,11 +80,13 @@
     });
   }
 
-  static create(rules: AcceptanceRules = acceptanceRules): ConfigurationWorld {
-    return new ConfigurationWorld(rules);
+  static create(
+    rules: AcceptanceRules = acceptanceRules,
+  ): ConfigurationSimulation {
+    return new ConfigurationSimulation(rules);
   }
 
-  /** An operator publishes from what a reader knows, which may be old. */
+  /** An operator publishes from a reader's state, which may be stale. */
   publish(from: number, formatVersion: number, isValid: boolean): void {
     const { chain, inForce, nextOffset } = this.readers[from].state;
     const head = chain.kind === "known" ? chain.head : null;
@@ -94,14 +103,14 @@
     });
   }
 
-  /** An earlier append lands once more, however late. */
+  /** An earlier append takes effect again, arbitrarily late. */
   repeat(back: number): void {
     const all = this.publications.filter((item) => item !== undefined);
     const again = all.at(-1 - (back % Math.max(all.length, 1)));
     if (again !== undefined) this.append(again);
   }
 
-  /** A writer takes its state and is paused with it. */
+  /** A writer creates a checkpoint and pauses before it appends it. */
   storeCheckpoint(from: number): void {
     this.stored = createCheckpoint(this.readers[from].state) ?? this.stored;
   }
@@ -115,7 +124,10 @@
     const reader = this.readers[index];
     const heldFrom = this.isDown ? 0 : this.startOffset;
     const { state, rules } = reader;
-    this.take(reader, adoptSnapshot(state, this.stored, heldFrom, rules));
+    this.applyResult(
+      reader,
+      adoptSnapshot(state, this.stored, heldFrom, rules),
+    );
   }
 
   read(index: number): void {
@@ -124,7 +136,7 @@
     reader.state = skipTrimmed(reader.state, this.startOffset);
     const from = reader.state.nextOffset;
     const records = this.records.slice(from);
-    this.take(reader, applyRecords(reader.state, records, reader.rules));
+    this.applyResult(reader, applyRecords(reader.state, records, reader.rules));
   }
 
   restart(index: number): void {
@@ -138,11 +150,11 @@
     this.startOffset = Math.min(this.startOffset + count, limit);
   }
 
-  /** The faults are over; everybody reads to the end. */
+  /** Ends all faults; every reader reads to the end of the log. */
   finish(): void {
     this.isDown = false;
-    for (let index = 0; index < READERS; index += 1) this.read(index);
-    const oracle = readWhole(this.publications);
+    for (let index = 0; index < READER_COUNT; index += 1) this.read(index);
+    const oracle = evaluateLog(this.publications);
     for (const reader of this.readers) this.check(reader, oracle);
   }
 
@@ -154,22 +166,22 @@
     this.publications.push(record.kind === "publication" ? record : undefined);
   }
 
-  private take(reader: Reader, { state, verdicts }: Applied): void {
+  private applyResult(reader: Reader, { state, verdicts }: Applied): void {
     const before = reader.state.inForce?.version ?? -1;
     const after = state.inForce?.version ?? -1;
-    if (after < before) this.violate(`version ${before} fell to ${after}`);
+    if (after < before) this.addViolation(`version ${before} fell to ${after}`);
     reader.state = state;
     reader.verdicts = [...reader.verdicts, ...verdicts];
-    this.check(reader, readWhole(this.publications));
+    this.check(reader, evaluateLog(this.publications));
   }
 
-  private check(reader: Reader, oracle: OracleReading): void {
+  private check(reader: Reader, oracle: OracleResult): void {
     const { state, newestFormat } = reader;
     const wanted = oracle.versionAfter(state.nextOffset - 1, newestFormat);
     const found = state.inForce?.version ?? -1;
     const isDecided = state.chain.kind === "known";
     if (isDecided ? found !== wanted : found > wanted) {
-      this.violate(`${found} is in force where ${wanted} was accepted`);
+      this.addViolation(`${found} is in force where ${wanted} was accepted`);
     }
     for (const verdict of reader.verdicts) {
       this.checkVerdict(verdict, oracle, newestFormat);
@@ -178,26 +190,26 @@
 
   private checkVerdict(
     verdict: Verdict,
-    { verdicts }: OracleReading,
+    { verdicts }: OracleResult,
     newestFormat: number,
   ): void {
     const { kind, offset } = verdict;
     if (kind === "checkpoint-disagrees") {
-      this.violate(`a checkpoint disagrees at ${offset}`);
+      this.addViolation(`a checkpoint disagrees at ${offset}`);
       return;
     }
     const publication = this.publications[offset];
     const isUnderstood = (publication?.formatVersion ?? 0) <= newestFormat;
     const wanted = verdicts.get(offset) ?? "unreadable";
-    const shown = kind === "duplicate" ? "superseded" : kind;
+    const comparable = kind === "duplicate" ? "superseded" : kind;
     const expected =
       isUnderstood || wanted === "superseded" ? wanted : "not-understood";
-    if (shown !== expected) {
-      this.violate(`${offset} is ${kind} in place of ${expected}`);
+    if (comparable !== expected) {
+      this.addViolation(`${offset} is ${kind} in place of ${expected}`);
     }
   }
 
-  private violate(what: string): void {
-    this.violations.push(what);
+  private addViolation(description: string): void {
+    this.violations.push(description);
   }
 }
--- a/src/cli/commands/bundle.ts
+++ b/src/cli/commands/bundle.ts
@@ -10,13 +10,13 @@
 import { readVmList, type Vm } from "../../platform/vm-list-client.js";
 import { ToolCommand } from "../tool-command.js";
 
-const PATHS = ["/status", "/metrics", "/events"] as const;
+const COLLECTED_PATHS = ["/status", "/metrics", "/events"] as const;
 const compress = promisify(gzip);
 
 /**
- * One file that a customer can send. It holds what the operators' addresses
- * tell, which never includes callers' content, and the published configuration
- * without its credential hashes.
+ * Writes a support bundle: the answers from the operators' addresses of all
+ * processes, which never include callers' content, and the published
+ * configuration without its credential hashes.
  */
 export class BundleCommand extends ToolCommand {
   static override paths = [["bundle"]];
@@ -29,11 +29,11 @@
 
   protected async run(): Promise<ExitCode> {
     const vms = await readVmList(this.vmListAddress);
-    const processes = await Promise.all(vms.map(collect));
-    const configuration = await this.configuration();
+    const processes = await Promise.all(vms.map(collectAnswers));
+    const configuration = await this.readConfiguration();
     const createdAt = new Date().toISOString();
     const bundle = { createdAt, vms, configuration, processes };
-    const data = await compress(JSON.stringify(bundle, withoutSecrets));
+    const data = await compress(JSON.stringify(bundle, redactSecrets));
     writeFileSync(this.file, data);
     const missing = processes
       .filter((item) => item.answers["/status"] === null)
@@ -46,8 +46,10 @@
     return missing.length > 0 ? exitCodes.incomplete : exitCodes.done;
   }
 
-  /** A bundle is wanted most when the platform is down, so it goes without. */
-  private async configuration(): Promise<unknown> {
+  /**
+   * An outage of the log must not prevent the bundle that is to diagnose it.
+   */
+  private async readConfiguration(): Promise<unknown> {
     try {
       const log = LogClient.create(this.logAddress);
       const { state, verdicts } = await readHistory(log);
@@ -58,14 +60,14 @@
   }
 }
 
-interface ProcessPart {
+interface ProcessSection {
   readonly name: string;
-  readonly answers: Readonly<Record<(typeof PATHS)[number], unknown>>;
+  readonly answers: Readonly<Record<(typeof COLLECTED_PATHS)[number], unknown>>;
 }
 
-async function collect(vm: Vm): Promise<ProcessPart> {
+async function collectAnswers(vm: Vm): Promise<ProcessSection> {
   const [status, metrics, events] = await Promise.all(
-    PATHS.map(async (path) => (await ask(vm, "GET", path)) ?? null),
+    COLLECTED_PATHS.map(async (path) => (await ask(vm, "GET", path)) ?? null),
   );
   const answers = {
     "/status": status,
@@ -75,6 +77,6 @@
   return { name: vm.name, answers };
 }
 
-function withoutSecrets(key: string, value: unknown): unknown {
+function redactSecrets(key: string, value: unknown): unknown {
   return key === "credentialHashes" ? "(left out)" : value;
 }
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -9,7 +9,7 @@
 import { exitCodes, type ExitCode } from "../exit-codes.js";
 import { readFile, ToolCommand } from "../tool-command.js";
 
-/** Checks a configuration file without any process or platform service. */
+/** Validates a configuration file locally, without contacting any service. */
 export class CheckCommand extends ToolCommand {
   static override paths = [["check"]];
   static override usage = Command.Usage({
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -9,7 +9,7 @@
 const POLL_MS = 200;
 const DEFAULT_WAIT_SECONDS = "60";
 
-/** Asks one process to leave and waits until it has ended. */
+/** Tells a process to drain and waits until it has ended. */
 export class DrainCommand extends ToolCommand {
   static override paths = [["drain"]];
   static override usage = Command.Usage({
@@ -20,11 +20,11 @@
   readonly process = Option.String();
 
   readonly wait = Option.String("--wait-seconds", DEFAULT_WAIT_SECONDS, {
-    description: "Longest wait for its end",
+    description: "Longest wait until it has ended, in seconds",
   });
 
   protected async run(): Promise<ExitCode> {
-    const vm = await this.find();
+    const vm = await this.findProcess();
     const answer = await ask(vm, "POST", "/leave");
     if (answer === undefined) raise(2001, { process: vm.name });
     this.progress(`${vm.name} is leaving`);
@@ -40,7 +40,7 @@
     return exitCodes.incomplete;
   }
 
-  private async find(): Promise<Vm> {
+  private async findProcess(): Promise<Vm> {
     const vms = await readVmList(this.vmListAddress);
     const vm = vms.find(({ name }) => name === this.process);
     return vm ?? raise(2004, { process: this.process });
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -9,7 +9,9 @@
 import { exitCodes, type ExitCode } from "../exit-codes.js";
 import { ToolCommand } from "../tool-command.js";
 
-/** Meaning and remedy of an error or event number. */
+/**
+ * Prints the meaning of an error or event number, and the remedy of an error.
+ */
 export class ExplainCommand extends ToolCommand {
   static override paths = [["explain"]];
   static override usage = Command.Usage({
--- a/src/cli/commands/history.ts
+++ b/src/cli/commands/history.ts
@@ -14,7 +14,7 @@
   readonly reason: string;
 }
 
-/** Every publication that the log still holds, with its verdict. */
+/** Lists every publication that the log still holds, with its verdict. */
 export class HistoryCommand extends ToolCommand {
   static override paths = [["history"]];
   static override usage = Command.Usage({
--- a/src/cli/commands/publish.ts
+++ b/src/cli/commands/publish.ts
@@ -22,7 +22,7 @@
   type ConfigurationHistory,
 } from "../configuration-log.js";
 import { exitCodes, type ExitCode } from "../exit-codes.js";
-import { askAll, type ProcessAnswer } from "../processes.js";
+import { queryAllProcesses, type ProcessAnswer } from "../processes.js";
 import { readFile, ToolCommand } from "../tool-command.js";
 
 const POLL_MS = 200;
@@ -42,15 +42,15 @@
   readonly file = Option.String();
 
   readonly author = Option.String("--author", process.env.USER ?? "unknown", {
-    description: "Name that history shows",
+    description: "Name shown in the history",
   });
 
   readonly dryRun = Option.Boolean("--dry-run", false, {
-    description: "Show the difference and stop",
+    description: "Show the difference without publishing",
   });
 
   readonly wait = Option.String("--wait-seconds", DEFAULT_WAIT_SECONDS, {
-    description: "Longest wait for the verdict and the processes",
+    description: "Longest wait for the verdict and the processes, in seconds",
   });
 
   protected async run(): Promise<ExitCode> {
@@ -81,20 +81,21 @@
 
   private showDifference(state: ConfigurationState, content: unknown): void {
     const { inForce } = state;
-    const before = pretty(inForce?.configuration ?? {});
+    const before = formatJson(inForce?.configuration ?? {});
     const patch = createTwoFilesPatch(
       `version ${inForce?.version ?? "none"}`,
       this.file,
       before,
-      pretty(content),
+      formatJson(content),
     );
     if (!this.json) this.context.stdout.write(`${patch}\n`);
   }
 
   /**
-   * Whether an append took effect is learnt by reading only: its answer may
-   * be lost after the record was kept. The same record may go out again, since
-   * its nonce counts once.
+   * Appends until the log shows a verdict. The answer to an append may be lost
+   * after the record was stored, so only reading the log tells whether it took
+   * effect. Appending the same record again is safe: a repeated nonce isn't
+   * accepted twice.
    */
   private async append(
     log: LogClient,
@@ -103,15 +104,15 @@
     deadline: number,
   ): Promise<Verdict> {
     const record = Buffer.from(JSON.stringify(publication));
-    let known = history;
+    let latest = history;
     while (Date.now() < deadline) {
       try {
         await log.append(CONFIGURATION_STREAM, [record]);
       } catch (error) {
         this.progress(`no answer: ${toFailure(error, 1901).message}`);
       }
-      known = await this.read(log, known);
-      const verdict = known.verdicts.find(
+      latest = await this.readOrKeep(log, latest);
+      const verdict = latest.verdicts.find(
         (item) => "nonce" in item && item.nonce === publication.nonce,
       );
       if (verdict !== undefined) return verdict;
@@ -120,15 +121,15 @@
     return raise(2003, { nonce: publication.nonce });
   }
 
-  private async read(
+  private async readOrKeep(
     log: LogClient,
-    known: ConfigurationHistory,
+    latest: ConfigurationHistory,
   ): Promise<ConfigurationHistory> {
     try {
-      return await readHistory(log, known);
+      return await readHistory(log, latest);
     } catch (error) {
       this.progress(`waiting for the log: ${toFailure(error, 1901).message}`);
-      return known;
+      return latest;
     }
   }
 
@@ -139,7 +140,7 @@
     let missing: string[] = [];
     let shown = "";
     do {
-      const answers = await askAll(this.vmListAddress, "/status");
+      const answers = await queryAllProcesses(this.vmListAddress, "/status");
       missing = answers
         .filter((answer) => !hasVersion(answer, version))
         .map(({ vm }) => vm.name);
@@ -183,6 +184,6 @@
   return typeof answer.version === "number" && answer.version >= version;
 }
 
-function pretty(value: unknown): string {
+function formatJson(value: unknown): string {
   return `${JSON.stringify(JSON.parse(canonicalJson(value)), undefined, 2)}\n`;
 }
--- a/src/cli/commands/show.ts
+++ b/src/cli/commands/show.ts
@@ -4,7 +4,7 @@
 import { exitCodes, type ExitCode } from "../exit-codes.js";
 import { ToolCommand } from "../tool-command.js";
 
-/** The configuration in force, as the log tells it. */
+/** Shows the configuration in force according to the log. */
 export class ShowCommand extends ToolCommand {
   static override paths = [["show"]];
   static override usage = Command.Usage({
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,14 +1,18 @@
 import { Command } from "clipanion";
 import { z } from "zod";
 import { exitCodes, type ExitCode } from "../exit-codes.js";
-import { askAll, unreachable, type ProcessAnswer } from "../processes.js";
+import {
+  queryAllProcesses,
+  unreachableNames,
+  type ProcessAnswer,
+} from "../processes.js";
 import { renderTable } from "../table.js";
 import { ToolCommand } from "../tool-command.js";
 
 const conservationSchema = z.object({
   accepted: z.number(),
   answered: z.number(),
-  /** Absent at processes of older releases. */
+  /** Absent from processes of older releases. */
   unmarked: z.number().default(0),
   "not-run": z.number(),
   unknown: z.number(),
@@ -36,7 +40,7 @@
   inFlight: 0,
 };
 
-/** State of every process, and what became of all requests. */
+/** Shows the state of every process and the totals of request outcomes. */
 export class StatusCommand extends ToolCommand {
   static override paths = [["status"]];
   static override usage = Command.Usage({
@@ -44,9 +48,11 @@
   });
 
   protected async run(): Promise<ExitCode> {
-    const answers = await askAll(this.vmListAddress, "/status");
-    const missing = unreachable(answers);
-    const total = answers.map(conservationOf).reduce(add, NO_REQUESTS);
+    const answers = await queryAllProcesses(this.vmListAddress, "/status");
+    const missing = unreachableNames(answers);
+    const total = answers
+      .map(conservationOf)
+      .reduce(addConservation, NO_REQUESTS);
     const balanced = isBalanced(total);
     const processes = answers.map(({ vm, answer }) => ({
       name: vm.name,
@@ -105,7 +111,7 @@
   return statusSchema.safeParse(answer).data?.conservation ?? NO_REQUESTS;
 }
 
-function add(a: Conservation, b: Conservation): Conservation {
+function addConservation(a: Conservation, b: Conservation): Conservation {
   return {
     accepted: a.accepted + b.accepted,
     answered: a.answered + b.answered,
--- a/src/cli/commands/timeline.ts
+++ b/src/cli/commands/timeline.ts
@@ -2,7 +2,11 @@
 import { z } from "zod";
 import { compareReadings } from "../../internal.js";
 import { exitCodes, type ExitCode } from "../exit-codes.js";
-import { askAll, unreachable, type ProcessAnswer } from "../processes.js";
+import {
+  queryAllProcesses,
+  unreachableNames,
+  type ProcessAnswer,
+} from "../processes.js";
 import { renderTable } from "../table.js";
 import { ToolCommand } from "../tool-command.js";
 
@@ -32,11 +36,11 @@
 
 type Event = Readonly<z.infer<typeof eventSchema>>;
 
-/** One story over all processes, in an order that respects cause. */
+/** Merges the events of all processes in causal order. */
 export class TimelineCommand extends ToolCommand {
   static override paths = [["timeline"]];
   static override usage = Command.Usage({
-    description: "Show the events of all processes in order of cause",
+    description: "Show the events of all processes in causal order",
     examples: [
       ["One request", "apricotdeck timeline --request ID"],
       [
@@ -55,13 +59,16 @@
   });
 
   readonly since = Option.String("--since", {
-    description: "Only events of the last so many seconds, e.g. 30s, 10m, 2h",
+    description: "Only events of the last period, e.g. 30s, 10m, 2h",
   });
 
   protected async run(): Promise<ExitCode> {
-    const answers = await askAll(this.vmListAddress, `/events?${this.query()}`);
-    const events = this.related(answers.flatMap(eventsOf));
-    const missing = unreachable(answers);
+    const answers = await queryAllProcesses(
+      this.vmListAddress,
+      `/events?${this.query()}`,
+    );
+    const events = this.selectEvents(answers.flatMap(eventsOf));
+    const missing = unreachableNames(answers);
     const rows = events.map(({ clock, process, number, name, fields }) => [
       new Date(clock.physicalMs).toISOString(),
       String(clock.counter),
@@ -78,12 +85,16 @@
   }
 
   private query(): string {
-    const sinceMs = this.since === undefined ? 0 : Date.now() - age(this.since);
+    const sinceMs =
+      this.since === undefined ? 0 : Date.now() - parseDurationMs(this.since);
     return `sinceMs=${sinceMs}`;
   }
 
-  /** A request's events name it, or an attempt that was made for it. */
-  private related(events: readonly Event[]): Event[] {
+  /**
+   * Sorts the events and applies the filters. A request's events name the
+   * request or one of its attempts.
+   */
+  private selectEvents(events: readonly Event[]): Event[] {
     const { request, group } = this;
     const sorted = [...events].sort((a, b) =>
       compareReadings(a.clock, b.clock),
@@ -115,7 +126,7 @@
 }
 
 /** Milliseconds of "30s", "10m" or "2h"; a bare number is seconds. */
-function age(text: string): number {
+function parseDurationMs(text: string): number {
   const [, amount = "0", unit = "s"] = /^(\d+)([smh]?)$/.exec(text) ?? [];
   return Number(amount) * (unitMs[unit] ?? SECOND_MS);
 }
--- a/src/cli/configuration-log.ts
+++ b/src/cli/configuration-log.ts
@@ -1,4 +1,4 @@
-/** Reads the configuration stream as every process does. */
+/** Reads the configuration stream by the same rules as the daemons. */
 import {
   applyRecords,
   CONFIGURATION_STREAM,
@@ -13,7 +13,7 @@
 export interface ConfigurationHistory {
   readonly state: ConfigurationState;
   readonly verdicts: readonly Verdict[];
-  /** Log time of each record that is still held, by offset. */
+  /** Append time of each retained record, by offset. */
   readonly appendedAtMs: ReadonlyMap<number, number>;
 }
 
@@ -23,7 +23,7 @@
   appendedAtMs: new Map(),
 };
 
-/** Everything that the log holds now, from the given history on. */
+/** Extends a history by all records that the log holds now. */
 export async function readHistory(
   log: LogClient,
   from: ConfigurationHistory = emptyHistory,
@@ -40,8 +40,8 @@
   history: ConfigurationHistory,
   page: LogPage,
 ): ConfigurationHistory {
-  const held = skipTrimmed(history.state, page.startOffset);
-  const applied = applyRecords(held, page.records);
+  const trimmed = skipTrimmed(history.state, page.startOffset);
+  const applied = applyRecords(trimmed, page.records);
   const times = page.records.map(
     ({ offset, appendedAtMs }) => [offset, appendedAtMs] as const,
   );
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -1,17 +1,17 @@
-/** Asks every process of the system on its operators' address. */
+/** HTTP queries to the operators' addresses of all processes. */
 import { request } from "undici";
 import { isEndMarked } from "../shared/answer-end.js";
 import { readVmList, type Vm } from "../platform/vm-list-client.js";
 
-const TIMEOUT_MS = 3000;
+const REQUEST_TIMEOUT_MS = 3000;
 
 export interface ProcessAnswer {
   readonly vm: Vm;
-  /** Undefined when the process can't be reached or its answer broke off. */
+  /** Undefined if the process can't be reached or its answer is incomplete. */
   readonly answer: unknown;
 }
 
-export async function askAll(
+export async function queryAllProcesses(
   vmList: string,
   path: string,
 ): Promise<ProcessAnswer[]> {
@@ -21,7 +21,10 @@
   );
 }
 
-/** The answer of one process; text when it isn't JSON. */
+/**
+ * The answer of one process as a JSON value, or as text if it isn't JSON.
+ * Undefined if the process can't be reached or its answer is incomplete.
+ */
 export async function ask(
   { operators }: Vm,
   method: "GET" | "POST",
@@ -30,25 +33,26 @@
   try {
     const response = await request(`http://${operators}${path}`, {
       method,
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
     });
     const text = await response.body.text();
     const { statusCode, headers } = response;
-    // Part of a text is a text: a story would miss a process unnoticed.
+    // A truncated answer that isn't JSON can't be told from a complete one, and
+    // the output would silently lack a part of this process's data.
     if (!isEndMarked(statusCode, headers, method)) return undefined;
-    return parseOr(text);
+    return parseJsonOrText(text);
   } catch {
     return undefined;
   }
 }
 
-export function unreachable(answers: readonly ProcessAnswer[]): string[] {
+export function unreachableNames(answers: readonly ProcessAnswer[]): string[] {
   return answers
     .filter(({ answer }) => answer === undefined)
     .map(({ vm }) => vm.name);
 }
 
-function parseOr(text: string): unknown {
+function parseJsonOrText(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,4 +1,4 @@
-/** Plain text tables for people. */
+/** Plain text tables for the terminal. */
 
 export function renderTable(
   head: readonly string[],
--- a/src/cli/tool-command.ts
+++ b/src/cli/tool-command.ts
@@ -1,4 +1,4 @@
-/** Options and output that all commands share. */
+/** Options and output shared by all commands. */
 import { readFileSync } from "node:fs";
 import { Command, Option } from "clipanion";
 import { parse } from "jsonc-parser";
@@ -9,7 +9,9 @@
 const LOG_VARIABLE = "APRICOTDECK_LOG";
 const VM_LIST_VARIABLE = "APRICOTDECK_VM_LIST";
 
-/** Any daemon's settings file will do: only its platform section is read. */
+/**
+ * Accepts the settings file of any daemon; only its platform section is read.
+ */
 const toolSettings = z.looseObject({
   platform: z.looseObject({ log: z.url(), vmList: z.url() }),
 });
@@ -43,13 +45,15 @@
 
   protected abstract run(): Promise<ExitCode>;
 
-  /** JSON for machines, or the text for people. */
+  /** Prints the value as JSON with --json, else the text. */
   protected print(value: unknown, text: string): void {
     const output = this.json ? JSON.stringify(value) : text;
     this.context.stdout.write(`${output}\n`);
   }
 
-  /** A line on a wait; goes to standard error, which machines don't read. */
+  /**
+   * Prints progress to standard error, so that standard output stays parseable.
+   */
   protected progress(text: string): void {
     this.context.stderr.write(`${text}\n`);
   }
--- a/src/configuration/acceptance.ts
+++ b/src/configuration/acceptance.ts
@@ -1,14 +1,15 @@
 /**
  * Acceptance as a deterministic function of the log.
  *
- * A publication names the version it was made from and is the next link of the
- * chain only if that is still the latest link. Racing operators are decided by
- * log order alone, and a repeated or late append can't revert anything, because
- * its base is no longer the latest. Linking depends on the envelope alone;
- * releases differ only in which content they understand, and what one does not
- * understand it reports and never puts in force.
+ * A publication names the version that it is based on, and becomes the next
+ * link of the chain only if that version is still the latest link. Log order
+ * alone decides between concurrent publications, and a repeated or late append
+ * can't revert anything, because its base is no longer the latest link. Linking
+ * depends on the envelope alone. Releases differ only in the content formats
+ * they understand; a release reports content that it doesn't understand and
+ * never puts it in force.
  */
-import { applyUnanchored } from "./anchor.js";
+import { applyToUnknownChain } from "./anchor.js";
 import { contentHash } from "./content-hash.js";
 import { parseEnvelope } from "./envelope.js";
 import {
@@ -21,13 +22,13 @@
   Applied,
   Checkpoint,
   ConfigurationState,
-  KeptContent,
+  PublishedContent,
   LogRecord,
   Publication,
   Verdict,
 } from "./types.js";
 
-/** Applies the record at the next offset; one applied before changes nothing. */
+/** Applies one record; a record that was already applied changes nothing. */
 export function applyRecord(
   state: ConfigurationState,
   record: LogRecord,
@@ -42,14 +43,14 @@
     return { state: next, verdicts: [verdict] };
   }
   if (next.chain.kind === "unknown") {
-    return applyUnanchored(next, next.chain, record, envelope, rules);
+    return applyToUnknownChain(next, next.chain, record, envelope, rules);
   }
   return envelope.kind === "checkpoint"
     ? compareCheckpoint(next, next.chain, record, envelope)
     : applyPublication(next, next.chain, record, envelope, rules);
 }
 
-/** Applies records in order, as a read of the log returns them. */
+/** Applies records in log order. */
 export function applyRecords(
   from: ConfigurationState,
   records: readonly LogRecord[],
@@ -73,28 +74,28 @@
   rules: AcceptanceRules,
 ): Applied {
   const { offset } = record;
-  const seen = { ...chain, lastPublication: offset };
+  const updated = { ...chain, lastPublication: offset };
   if (rules.isNextLink(publication, offset, chain)) {
-    return link(state, seen, record, publication, rules);
+    return linkPublication(state, updated, record, publication, rules);
   }
-  const verdict = missedLink(chain, offset, publication);
-  return { state: { ...state, chain: seen }, verdicts: [verdict] };
+  const verdict = rejectPublication(chain, offset, publication);
+  return { state: { ...state, chain: updated }, verdicts: [verdict] };
 }
 
-function missedLink(
+function rejectPublication(
   { head }: KnownChain,
   offset: number,
   { nonce, author, basedOn }: Publication,
 ): Verdict {
-  const about = { offset, nonce, author };
+  const identity = { offset, nonce, author };
   if (head?.nonce === nonce) {
-    return { ...about, kind: "duplicate", of: head.version };
+    return { ...identity, kind: "duplicate", of: head.version };
   }
   const latest = head?.version ?? null;
-  return { ...about, kind: "superseded", basedOn, latest };
+  return { ...identity, kind: "superseded", basedOn, latest };
 }
 
-function link(
+function linkPublication(
   state: ConfigurationState,
   chain: KnownChain,
   record: LogRecord,
@@ -103,55 +104,56 @@
 ): Applied {
   const { offset } = record;
   const { formatVersion, nonce, author, configuration } = publication;
-  const about = { offset, nonce, author };
+  const identity = { offset, nonce, author };
   const head = { version: offset, nonce };
-  const content: KeptContent = {
+  const content: PublishedContent = {
     version: offset,
     formatVersion,
     nonce,
     author,
     configuration,
   };
-  const examine = rules.formats.get(formatVersion);
-  if (examine === undefined) {
+  const validate = rules.formats.get(formatVersion);
+  if (validate === undefined) {
     const linked = { ...chain, head, contents: [...chain.contents, content] };
     return {
       state: { ...state, chain: linked, notUnderstood: content },
-      verdicts: [{ ...about, kind: "not-understood", formatVersion }],
+      verdicts: [{ ...identity, kind: "not-understood", formatVersion }],
     };
   }
-  return examine(configuration).caseOf<Applied>({
+  return validate(configuration).caseOf<Applied>({
     Left: (problems) => {
-      const links = rules.linksWhenInvalid(formatVersion);
+      const links = rules.linksInvalidContent(formatVersion);
       return {
         state: { ...state, chain: links ? { ...chain, head } : chain },
-        verdicts: [{ ...about, kind: "invalid", problems }],
+        verdicts: [{ ...identity, kind: "invalid", problems }],
       };
     },
     Right: (parsed) => {
       const hash = contentHash(configuration);
       const inForce = { version: offset, hash, author, configuration: parsed };
-      const older = olderFormats(chain.contents, formatVersion);
+      const older = contentsOfOlderFormats(chain.contents, formatVersion);
       return {
         state: {
           ...putInForce(state, inForce),
           chain: { ...chain, head, contents: [...older, content] },
           anchoredAtMs: record.appendedAtMs,
         },
-        verdicts: [{ ...about, kind: "accepted", hash }],
+        verdicts: [{ ...identity, kind: "accepted", hash }],
       };
     },
   });
 }
 
 /**
- * Contents that still matter after a valid one: a reader that understands a
- * format understands the older ones too and so runs the new content.
+ * Contents to keep after a valid one is accepted. Those of the same or a newer
+ * format are dropped, because every reader that understands them also
+ * understands the accepted content and puts it in force.
  */
-function olderFormats(
-  contents: readonly KeptContent[],
+function contentsOfOlderFormats(
+  contents: readonly PublishedContent[],
   formatVersion: number,
-): readonly KeptContent[] {
+): readonly PublishedContent[] {
   return contents.filter((kept) => kept.formatVersion < formatVersion);
 }
 
@@ -162,14 +164,16 @@
   { asOf, head }: Checkpoint,
 ): Applied {
   const { offset, appendedAtMs } = record;
-  const own = chain.head?.version ?? -1;
-  const theirs = head?.version ?? -1;
-  const isFresh = asOf >= own;
-  const agrees = isFresh ? theirs === own : theirs < own;
+  const localVersion = chain.head?.version ?? -1;
+  const checkpointVersion = head?.version ?? -1;
+  const coversHead = asOf >= localVersion;
+  const agrees = coversHead
+    ? checkpointVersion === localVersion
+    : checkpointVersion < localVersion;
   if (!agrees) {
     const verdict: Verdict = { kind: "checkpoint-disagrees", offset, asOf };
     return { state, verdicts: [verdict] };
   }
-  const anchoredAtMs = isFresh ? appendedAtMs : state.anchoredAtMs;
+  const anchoredAtMs = coversHead ? appendedAtMs : state.anchoredAtMs;
   return { state: { ...state, anchoredAtMs }, verdicts: [] };
 }
--- a/src/configuration/anchor.ts
+++ b/src/configuration/anchor.ts
@@ -1,6 +1,6 @@
 /**
- * How a reader that lost earlier records finds its place again: by a checkpoint
- * in the log, a peer's snapshot, or a publication made without a base.
+ * Recovery of a reader that is missing earlier records: it restarts from a
+ * checkpoint in the log, a peer's snapshot, or a publication without a base.
  */
 import { applyPublication, applyRecords } from "./acceptance.js";
 import { contentHash } from "./content-hash.js";
@@ -12,15 +12,15 @@
   Chain,
   Checkpoint,
   ConfigurationState,
-  KeptContent,
+  PublishedContent,
   LogRecord,
   Publication,
 } from "./types.js";
 
 type UnknownChain = Extract<Chain, { readonly kind: "unknown" }>;
 
-/** Applies a record while earlier ones are missing. */
-export function applyUnanchored(
+/** Applies a record while earlier records are missing. */
+export function applyToUnknownChain(
   state: ConfigurationState,
   chain: UnknownChain,
   record: LogRecord,
@@ -30,27 +30,34 @@
   const pending = [...chain.pending, record];
   const waiting = { ...state, chain: { ...chain, pending } };
   if (envelope.kind === "checkpoint") {
-    const usable =
-      envelope.asOf < record.offset && rules.isUsable(envelope, chain.heldFrom);
-    if (!usable) return { state: waiting, verdicts: [] };
-    const anchored = anchor(waiting, envelope, record.appendedAtMs, rules);
-    return anchored === undefined
-      ? disagreement(waiting, record.offset, envelope)
-      : applyRecords(anchored, pending, rules);
+    const isUsable =
+      envelope.asOf < record.offset &&
+      rules.isCheckpointUsable(envelope, chain.heldFrom);
+    if (!isUsable) return { state: waiting, verdicts: [] };
+    const restored = restoreCheckpoint(
+      waiting,
+      envelope,
+      record.appendedAtMs,
+      rules,
+    );
+    return restored === undefined
+      ? rejectCheckpoint(waiting, record.offset, envelope)
+      : applyRecords(restored, pending, rules);
   }
-  if (!standsAlone(envelope, chain)) return { state: waiting, verdicts: [] };
-  // Nothing was published since what its author saw, so every reader accepts
-  // it, also one that knows what came before; unless it is invalid, when those
-  // keep what they have and this one still lacks it.
-  const alone = applyPublication(state, EMPTY_CHAIN, record, envelope, rules);
-  const isAccepted = alone.verdicts.some(({ kind }) => kind === "accepted");
-  return isAccepted ? alone : { state: waiting, verdicts: [] };
+  if (!isFirstPublication(envelope, chain))
+    return { state: waiting, verdicts: [] };
+  // Nothing was published after what its author had read, so readers with the
+  // whole history accept it too. If it is invalid, they keep their earlier
+  // configuration, which this reader still doesn't know.
+  const applied = applyPublication(state, EMPTY_CHAIN, record, envelope, rules);
+  const isAccepted = applied.verdicts.some(({ kind }) => kind === "accepted");
+  return isAccepted ? applied : { state: waiting, verdicts: [] };
 }
 
 /**
- * Starts from a peer's snapshot, or moves on to it when it is ahead. During a
- * log outage nothing is known of the log's start: `heldFrom` is then 0, and a
- * gap shows by the first read after the outage.
+ * Starts from a peer's snapshot, or advances to it if it is ahead. During a log
+ * outage the log's start offset is unknown: `heldFrom` is then 0, and the first
+ * read after the outage detects a gap.
  */
 export function adoptSnapshot(
   state: ConfigurationState,
@@ -63,16 +70,25 @@
   const isKnown = chain.kind === "known";
   if (isKnown && snapshot.asOf < state.nextOffset) return unchanged;
   const firstHeld = isKnown ? heldFrom : Math.max(heldFrom, chain.heldFrom);
-  if (!rules.isUsable(snapshot, firstHeld)) return unchanged;
-  const anchored = anchor(state, snapshot, state.anchoredAtMs, rules);
-  if (anchored === undefined) {
-    return disagreement(state, snapshot.asOf, snapshot);
+  if (!rules.isCheckpointUsable(snapshot, firstHeld)) return unchanged;
+  const restored = restoreCheckpoint(
+    state,
+    snapshot,
+    state.anchoredAtMs,
+    rules,
+  );
+  if (restored === undefined) {
+    return rejectCheckpoint(state, snapshot.asOf, snapshot);
   }
-  return applyRecords(anchored, isKnown ? [] : chain.pending, rules);
+  return applyRecords(restored, isKnown ? [] : chain.pending, rules);
 }
 
-/** Whether a publication without a base can be judged from what is held. */
-function standsAlone(
+/**
+ * Whether this is a publication without a base that can be accepted although
+ * earlier records are missing: its author read everything up to the retained
+ * records, and none of those is a publication that the author hasn't read.
+ */
+function isFirstPublication(
   { basedOn, seenThrough }: Publication,
   { heldFrom, pending }: UnknownChain,
 ): boolean {
@@ -86,8 +102,8 @@
   );
 }
 
-/** Nothing when the checkpoint is behind what is already in force here. */
-function anchor(
+/** Undefined if the checkpoint is older than the version in force here. */
+function restoreCheckpoint(
   state: ConfigurationState,
   checkpoint: Checkpoint,
   anchoredAtMs: number | null,
@@ -96,30 +112,31 @@
   const { asOf, head, lastPublication, contents } = checkpoint;
   if ((head?.version ?? -1) < (state.inForce?.version ?? -1)) return undefined;
   const chain: Chain = { kind: "known", head, lastPublication, contents };
-  const anchored: ConfigurationState = {
+  const base: ConfigurationState = {
     ...state,
     nextOffset: asOf + 1,
     chain,
     anchoredAtMs,
   };
   return contents.reduce<ConfigurationState>(
-    (reached, content) => takeContent(reached, content, rules),
-    anchored,
+    (restored, content) => restoreContent(restored, content, rules),
+    base,
   );
 }
 
-function takeContent(
+function restoreContent(
   state: ConfigurationState,
-  content: KeptContent,
+  content: PublishedContent,
   { formats }: AcceptanceRules,
 ): ConfigurationState {
   const { version, formatVersion, author, configuration } = content;
-  const examine = formats.get(formatVersion);
-  if (examine === undefined) return { ...state, notUnderstood: content };
-  return examine(configuration).caseOf<ConfigurationState>({
+  const validate = formats.get(formatVersion);
+  if (validate === undefined) return { ...state, notUnderstood: content };
+  return validate(configuration).caseOf<ConfigurationState>({
     Left: () => state,
     Right: (parsed) => {
-      // Listed oldest first: those up to the version in force came before it.
+      // Contents are listed oldest first; skip those not newer than the version
+      // in force.
       if (version <= (state.inForce?.version ?? -1)) return state;
       const hash = contentHash(configuration);
       const inForce = { version, hash, author, configuration: parsed };
@@ -128,7 +145,7 @@
   });
 }
 
-function disagreement(
+function rejectCheckpoint(
   state: ConfigurationState,
   offset: number,
   { asOf }: Checkpoint,
--- a/src/configuration/check.ts
+++ b/src/configuration/check.ts
@@ -1,6 +1,7 @@
 /**
- * Checks a configuration: the schema first, then the rules that tie its parts
- * together. Every problem names path, found and expected value.
+ * Validates a configuration against the schema and then checks the references
+ * between its parts. Every problem names the path, the found and the expected
+ * value.
  */
 import { Left, Right, type Either } from "purify-ts";
 import type { z } from "zod";
@@ -8,28 +9,29 @@
 import { configurationSchema, type Configuration } from "./schema.js";
 import type { ConfigurationProblem } from "./types.js";
 
-const LONGEST_SHOWN_VALUE = 80;
+const MAX_SHOWN_VALUE_CHARACTERS = 80;
 
-/** Every problem; a valid configuration comes with its defaults filled in. */
-export function examineConfiguration(
+/** Left: all problems. Right: the configuration with defaults filled in. */
+export function validateConfiguration(
   content: unknown,
 ): Either<readonly ConfigurationProblem[], Configuration> {
   const parsed = configurationSchema.safeParse(content);
   if (!parsed.success) {
-    return Left(parsed.error.issues.map((issue) => describe(issue, content)));
+    return Left(parsed.error.issues.map((issue) => toProblem(issue, content)));
   }
-  const problems = crossCheck(parsed.data);
+  const problems = checkReferences(parsed.data);
   return problems.length > 0 ? Left(problems) : Right(parsed.data);
 }
 
-/** Error 1101 names the first problem and counts the others. */
+/** Like `validateConfiguration`, with the problems as error 1101. */
 export function checkConfiguration(
   content: unknown,
 ): Either<ApricotdeckError, Configuration> {
-  return examineConfiguration(content).mapLeft(problemsToFailure);
+  return validateConfiguration(content).mapLeft(toConfigurationError);
 }
 
-export function problemsToFailure(
+/** Error 1101 names the first problem and counts the others. */
+export function toConfigurationError(
   problems: readonly ConfigurationProblem[],
 ): ApricotdeckError {
   const first = problems.at(0);
@@ -40,7 +42,7 @@
   return failure(1101, { path, found, expected, others });
 }
 
-function describe(
+function toProblem(
   issue: z.core.$ZodIssue,
   content: unknown,
 ): ConfigurationProblem {
@@ -48,16 +50,16 @@
   if (issue.code === "unrecognized_keys") {
     const unknown = issue.keys.join(", ");
     const expected = "no such field";
-    return { path: pathText([...path, unknown]), found: "a field", expected };
+    return { path: formatPath([...path, unknown]), found: "a field", expected };
   }
   return {
-    path: pathText(path),
-    found: show(valueAt(content, path)),
+    path: formatPath(path),
+    found: formatValue(valueAt(content, path)),
     expected: issue.message,
   };
 }
 
-function pathText(path: readonly string[]): string {
+function formatPath(path: readonly string[]): string {
   return path.length === 0 ? "(whole)" : path.join(".");
 }
 
@@ -70,26 +72,26 @@
   return value;
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
-  return JSON.stringify(value).slice(0, LONGEST_SHOWN_VALUE);
+  return JSON.stringify(value).slice(0, MAX_SHOWN_VALUE_CHARACTERS);
 }
 
-function crossCheck(configuration: Configuration): ConfigurationProblem[] {
+function checkReferences(configuration: Configuration): ConfigurationProblem[] {
   const { profiles, accounts, groups } = configuration;
   return [
-    ...duplicates("profiles", profiles),
-    ...duplicates("accounts", accounts),
-    ...duplicates("groups", groups),
+    ...duplicateNames("profiles", profiles),
+    ...duplicateNames("accounts", accounts),
+    ...duplicateNames("groups", groups),
     ...targetsWithoutGroup(configuration),
-    ...profileAccounts(configuration),
-    ...defaultProfiles(configuration),
+    ...unknownProfileAccounts(configuration),
+    ...unavailableDefaultProfiles(configuration),
     ...sharedCredentials(configuration),
     ...expertsWithoutSlot(configuration),
   ];
 }
 
-function duplicates(
+function duplicateNames(
   list: string,
   items: readonly { readonly name: string }[],
 ): ConfigurationProblem[] {
@@ -100,14 +102,14 @@
       return [];
     }
     const path = `${list}.${index}.name`;
-    return [{ path, found: show(name), expected: "a name used once" }];
+    return [{ path, found: formatValue(name), expected: "a name used once" }];
   });
 }
 
 function targetsWithoutGroup(
   configuration: Configuration,
 ): ConfigurationProblem[] {
-  const served = new Set(
+  const targets = new Set(
     configuration.groups.map((group) =>
       group.kind === "model"
         ? `model ${group.model}`
@@ -119,41 +121,49 @@
       target.kind === "model"
         ? `model ${target.model}`
         : `service ${target.service}`;
-    if (served.has(wanted)) return [];
+    if (targets.has(wanted)) return [];
     const path = `profiles.${index}.target.${target.kind}`;
     return [{ path, found: wanted, expected: "served by one of the groups" }];
   });
 }
 
-function profileAccounts(configuration: Configuration): ConfigurationProblem[] {
+function unknownProfileAccounts(
+  configuration: Configuration,
+): ConfigurationProblem[] {
   const known = new Set(configuration.accounts.map(({ name }) => name));
   return configuration.profiles.flatMap((profile, index) =>
     (profile.accounts ?? []).flatMap((account, position) => {
       if (known.has(account)) return [];
       const path = `profiles.${index}.accounts.${position}`;
       return [
-        { path, found: show(account), expected: "one of the client accounts" },
+        {
+          path,
+          found: formatValue(account),
+          expected: "one of the client accounts",
+        },
       ];
     }),
   );
 }
 
-function defaultProfiles(configuration: Configuration): ConfigurationProblem[] {
+function unavailableDefaultProfiles(
+  configuration: Configuration,
+): ConfigurationProblem[] {
   const profiles = new Map(
     configuration.profiles.map((profile) => [profile.name, profile]),
   );
   return configuration.accounts.flatMap(({ name, defaultProfile }, index) => {
     if (defaultProfile === undefined) return [];
     const profile = profiles.get(defaultProfile);
-    const open = profile?.accounts?.includes(name) ?? profile !== undefined;
-    if (open) return [];
+    const isOpen = profile?.accounts?.includes(name) ?? profile !== undefined;
+    if (isOpen) return [];
     const path = `accounts.${index}.defaultProfile`;
     const expected = "a profile that is open to the account";
-    return [{ path, found: show(defaultProfile), expected }];
+    return [{ path, found: formatValue(defaultProfile), expected }];
   });
 }
 
-/** A credential of two accounts would let one see the other's answers. */
+/** Two accounts that share a credential could read each other's answers. */
 function sharedCredentials(
   configuration: Configuration,
 ): ConfigurationProblem[] {
@@ -179,6 +189,6 @@
     if (slots >= group.experts) return [];
     const path = `groups.${index}.slotsPerRank`;
     const expected = `ranks x slotsPerRank of at least ${group.experts}`;
-    return [{ path, found: show(group.slotsPerRank), expected }];
+    return [{ path, found: formatValue(group.slotsPerRank), expected }];
   });
 }
--- a/src/configuration/checkpoint-time.ts
+++ b/src/configuration/checkpoint-time.ts
@@ -1,22 +1,25 @@
-/** When a process that reads the log appends a checkpoint. */
+/** Schedule of the checkpoints that readers append to the log. */
 import type { ConfigurationState } from "./types.js";
 
 /**
- * A third of the ten minutes for which the log keeps records at least: two
- * writers may miss their turn before the chain is trimmed.
+ * A third of the log's minimum retention of ten minutes, so that two
+ * checkpoints in a row may be missed before the log trims the latest link.
  */
-export const CHECKPOINT_AFTER_MS = 200_000;
+export const CHECKPOINT_INTERVAL_MS = 200_000;
 
-/** Spreads the writers, so that the first one spares the others theirs. */
-export const CHECKPOINT_SPREAD_MS = 60_000;
+/**
+ * Spreads the writers in time, so that the first checkpoint makes those of the
+ * other writers unnecessary.
+ */
+export const CHECKPOINT_JITTER_MS = 60_000;
 
-/** `turn` in [0, 1) is drawn once for each process. */
+/** `jitter`: in [0, 1), drawn once per process. */
 export function isCheckpointDue(
   { chain, anchoredAtMs }: ConfigurationState,
   nowMs: number,
-  turn: number,
+  jitter: number,
 ): boolean {
   if (chain.kind === "unknown" || chain.head === null) return false;
-  const waitMs = CHECKPOINT_AFTER_MS + turn * CHECKPOINT_SPREAD_MS;
+  const waitMs = CHECKPOINT_INTERVAL_MS + jitter * CHECKPOINT_JITTER_MS;
   return anchoredAtMs === null || nowMs - anchoredAtMs >= waitMs;
 }
--- a/src/configuration/content-hash.ts
+++ b/src/configuration/content-hash.ts
@@ -1,12 +1,12 @@
-/** A hash by which operators compare what runs at different processes. */
+/** Content hash by which operators compare configurations across processes. */
 import { createHash } from "node:crypto";
 
-/** JSON with sorted keys, so that equal contents have equal text. */
+/** JSON with sorted keys, so that equal contents serialize identically. */
 export function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, item: unknown) => sortKeys(item));
 }
 
-/** SHA-256 of the content as it was published, in hexadecimal. */
+/** SHA-256 of the published content, in hexadecimal. */
 export function contentHash(configuration: unknown): string {
   return createHash("sha256")
     .update(canonicalJson(configuration))
--- a/src/configuration/envelope.ts
+++ b/src/configuration/envelope.ts
@@ -1,8 +1,8 @@
 /**
- * Reads and writes records of the configuration stream. The envelope is frozen:
- * every release reads these fields and passes over others, so that all of them
- * agree on which publication came first. A change of content takes a new
- * `formatVersion` instead.
+ * Parses and encodes records of the configuration stream. The envelope never
+ * changes: every release reads exactly these fields and ignores others, so that
+ * all releases agree on which publication came first. A change of the content
+ * format gets a new `formatVersion` instead.
  */
 import { Left, Right, type Either } from "purify-ts";
 import { z } from "zod";
@@ -44,17 +44,17 @@
   checkpointSchema,
 ]);
 
-const FIRST_FORMAT_REASON =
-  "formatVersion: a publication without a base is of the baseline format";
+const NOT_BASELINE_REASON =
+  "formatVersion: a publication without a base must use the baseline format";
 
-/** Left: why the record can't be read. */
+/** Left: the reason why the record can't be parsed. */
 export function parseEnvelope(
   data: Uint8Array,
 ): Either<string, Publication | Checkpoint> {
   const parsed = envelopeSchema.safeParse(parseJson(data));
   if (parsed.success) {
-    return isMisplaced(parsed.data)
-      ? Left(FIRST_FORMAT_REASON)
+    return isFirstOfNewerFormat(parsed.data)
+      ? Left(NOT_BASELINE_REASON)
       : Right(parsed.data);
   }
   const issue = parsed.error.issues.at(0);
@@ -67,10 +67,11 @@
 }
 
 /**
- * A reader that lost everything starts from a publication without a base. Were
- * it of a newer format, an older release would be left without any content.
+ * Whether a publication without a base uses a newer format. A reader without
+ * history starts from such a publication; in a newer format it would leave
+ * older releases without any configuration.
  */
-function isMisplaced(record: Publication | Checkpoint): boolean {
+function isFirstOfNewerFormat(record: Publication | Checkpoint): boolean {
   if (record.kind === "checkpoint" || record.basedOn !== null) return false;
   return record.formatVersion !== BASELINE_FORMAT;
 }
--- a/src/configuration/formats.ts
+++ b/src/configuration/formats.ts
@@ -1,27 +1,28 @@
 /**
- * The content formats that this release understands. The rules of a published
- * format never change: a release that wants others adds a format, since two
- * releases that judge one record differently would part for good.
+ * Content formats that this release understands. The rules of a released format
+ * never change; other rules need a new format. Two releases that judged the
+ * same record differently would have different configurations in force from
+ * then on.
  */
 import type { Either } from "purify-ts";
-import { examineConfiguration } from "./check.js";
+import { validateConfiguration } from "./check.js";
 import type { Configuration } from "./schema.js";
 import type { ConfigurationProblem } from "./types.js";
 
-export type ExamineContent = (
+export type ValidateContent = (
   content: unknown,
 ) => Either<readonly ConfigurationProblem[], Configuration>;
 
-/** Format number to its rules. */
-export type Formats = ReadonlyMap<number, ExamineContent>;
+/** Validation functions by format version. */
+export type Formats = ReadonlyMap<number, ValidateContent>;
 
 /**
- * Understood by every release there will be, so an invalid record of it may be
- * passed over. One of a newer format has to link the chain even when invalid,
- * because older releases can't see that it is.
+ * Format that every release understands, so that all of them skip an invalid
+ * publication of it. An invalid publication of a newer format links the chain
+ * all the same, because older releases can't tell that it is invalid.
  */
 export const BASELINE_FORMAT = 1;
 
 export const knownFormats: Formats = new Map([
-  [BASELINE_FORMAT, examineConfiguration],
+  [BASELINE_FORMAT, validateConfiguration],
 ]);
--- a/src/configuration/relays.ts
+++ b/src/configuration/relays.ts
@@ -1,24 +1,25 @@
 /**
- * Who reads the configuration stream from the log. At 320 nodes and 820 runners
- * a long poll of each would be a thousand standing reads and a thousand answers
- * to every publication; two readers in each data centre hand the records on.
+ * Selection of the processes that read the configuration stream from the log.
+ * With 320 nodes and 820 runners, a long poll per process would mean over a
+ * thousand open reads and as many answers to every publication. So only two
+ * relays in each data centre read the log, and feed the other processes.
  */
 
-/** Readers of the log in one data centre: one may fail or be replaced. */
+/** Two, so that one may fail or be replaced. */
 export const RELAYS_PER_DATA_CENTRE = 2;
 
 export interface RelayCandidate {
   readonly name: string;
   readonly role: "entry" | "backend";
-  /** host:port between the daemons; empty when there is none. */
+  /** host:port for traffic between daemons; empty if there is none. */
   readonly address: string;
   readonly dataCentre: string;
   readonly state: "live" | "leaving";
 }
 
 /**
- * The relays of a data centre, entries before backend servers. Processes that
- * see different lists may choose differently; that costs reads, nothing else.
+ * The relays of a data centre, entries before backend servers. Processes with
+ * different lists may choose different relays, which only causes extra reads.
  */
 export function chooseRelays(
   candidates: readonly RelayCandidate[],
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -1,17 +1,17 @@
 /**
- * What operators publish: profiles, client accounts, groups and the weight
- * between the two measures. Unknown fields make a publication invalid, so a
- * typing error is never half-applied.
+ * Schema of the published configuration: profiles, client accounts, groups and
+ * the weight of skew against the cost of moving experts. Unknown fields make a
+ * publication invalid, so that a misspelled field isn't silently ignored.
  */
 import { z } from "zod";
 
 const NAME = /^[a-z0-9][a-z0-9._-]{0,62}$/;
 const SHA256_HEX = /^[0-9a-f]{64}$/;
-const LONGEST_DEADLINE_MS = 3_600_000;
-const HIGHEST_PRIORITY_NUMBER = 9;
+const MAX_DEADLINE_MS = 3_600_000;
+const MAX_PRIORITY = 9;
 
 const name = z.string().regex(NAME);
-const count = z.int().min(1);
+const positiveInteger = z.int().min(1);
 
 const modelTarget = z
   .strictObject({
@@ -30,28 +30,24 @@
   .strictObject({
     name,
     target: z.discriminatedUnion("kind", [modelTarget, serviceTarget]),
-    priority: z
-      .int()
-      .min(0)
-      .max(HIGHEST_PRIORITY_NUMBER)
-      .describe("0 is served first."),
+    priority: z.int().min(0).max(MAX_PRIORITY).describe("0 is served first."),
     deadlineMs: z
       .int()
       .min(1)
-      .max(LONGEST_DEADLINE_MS)
+      .max(MAX_DEADLINE_MS)
       .describe("Longest time from acceptance to the end of the answer."),
     repeatable: z
       .boolean()
       .describe("False for calls that may run at most once."),
     queue: z
       .strictObject({
-        maximumTokens: count.describe(
+        maximumTokens: positiveInteger.describe(
           "Most work waiting in one entry, in tokens.",
         ),
-        maximumWaitMs: count,
+        maximumWaitMs: positiveInteger,
       })
       .readonly(),
-    concurrency: count.describe(
+    concurrency: positiveInteger.describe(
       "Requests of the profile running at once from one entry.",
     ),
     accounts: z
@@ -91,11 +87,13 @@
     kind: z.literal("model"),
     name,
     model: name,
-    ranks: count,
-    layers: count,
-    experts: count,
-    slotsPerRank: count.describe("Expert slots of one rank in one layer."),
-    bytesPerExpert: count,
+    ranks: positiveInteger,
+    layers: positiveInteger,
+    experts: positiveInteger,
+    slotsPerRank: positiveInteger.describe(
+      "Expert slots of one rank in one layer.",
+    ),
+    bytesPerExpert: positiveInteger,
   })
   .readonly();
 
--- a/src/configuration/state.ts
+++ b/src/configuration/state.ts
@@ -1,4 +1,4 @@
-/** The state of one reader of the configuration stream. */
+/** State of a reader of the configuration stream. */
 import { raise } from "../internal.js";
 import type { KnownChain } from "./rules.js";
 import type {
@@ -18,7 +18,7 @@
   contents: [],
 };
 
-/** Before the first read: an empty log from offset zero. */
+/** State before the first read: an empty log that starts at offset zero. */
 export const initialConfigurationState: ConfigurationState = {
   nextOffset: 0,
   chain: EMPTY_CHAIN,
@@ -28,9 +28,9 @@
 };
 
 /**
- * To be called with the start offset of every read. A reader that was away for
- * longer than the retention keeps what it has in force, but decides nothing
- * until a usable checkpoint comes.
+ * Must be called with the log's start offset on every read. A reader that
+ * missed trimmed records keeps its configuration in force, but returns no
+ * verdicts until it reads a usable checkpoint.
  */
 export function skipTrimmed(
   state: ConfigurationState,
@@ -41,7 +41,9 @@
   return { ...state, nextOffset: startOffset, chain };
 }
 
-/** The state as a checkpoint record or snapshot; nothing while undecided. */
+/**
+ * Checkpoint or snapshot of the state; undefined while the chain is unknown.
+ */
 export function createCheckpoint(
   state: ConfigurationState,
 ): Checkpoint | undefined {
@@ -52,8 +54,9 @@
 }
 
 /**
- * Versions only rise. A lower one here would mean that two states were made
- * from different logs; going on would revert what operators were told.
+ * Throws 1104 for a lower version than the one in force. Versions only rise, so
+ * the two states would come from different logs, and going on would revert a
+ * version that was reported to operators as accepted.
  */
 export function putInForce(
   state: ConfigurationState,
--- a/src/configuration/types.ts
+++ b/src/configuration/types.ts
@@ -1,4 +1,6 @@
-/** Records of the configuration stream and what every reader makes of them. */
+/**
+ * Records of the configuration stream, verdicts on them and the reader's state.
+ */
 import type { Configuration } from "./schema.js";
 
 /** A record of the platform's append-only log. */
@@ -15,19 +17,19 @@
  */
 export interface Publication {
   readonly kind: "publication";
-  /** Version (log offset) it was made from; null when none was known. */
+  /** Version (log offset) it is based on; null if its author knew none. */
   readonly basedOn: number | null;
-  /** With `basedOn` null: the author saw every record before this offset. */
+  /** If `basedOn` is null: the author read every record before this offset. */
   readonly seenThrough: number;
   readonly formatVersion: number;
-  /** New for every publication; a repeated append carries it again. */
+  /** Unique per publication; a repeated append has the same nonce. */
   readonly nonce: string;
   readonly author: string;
   readonly configuration: unknown;
 }
 
-/** A publication with its place in the log, kept as it was written. */
-export interface KeptContent {
+/** Unparsed content of a publication; `version` is its offset in the log. */
+export interface PublishedContent {
   readonly version: number;
   readonly formatVersion: number;
   readonly nonce: string;
@@ -41,18 +43,18 @@
   readonly nonce: string;
 }
 
-/** State of a reader after the record at `asOf`; -1 before the first one. */
+/** State of a reader after the record at `asOf`; -1 before the first record. */
 export interface Checkpoint {
   readonly kind: "checkpoint";
   readonly asOf: number;
   readonly head: ChainHead | null;
-  /** Offset of the latest publication, whatever its verdict. */
+  /** Offset of the latest publication, regardless of its verdict. */
   readonly lastPublication: number | null;
-  /** Contents that some release may have in force, oldest first. */
-  readonly contents: readonly KeptContent[];
+  /** Contents that some release may still have in force, oldest first. */
+  readonly contents: readonly PublishedContent[];
 }
 
-/** What the operator is told to correct. */
+/** A problem that the operator has to correct. */
 export interface ConfigurationProblem {
   readonly path: string;
   readonly found: string;
@@ -67,7 +69,7 @@
 
 export type Verdict =
   | (PublicationVerdict & { readonly kind: "accepted"; readonly hash: string })
-  /** Links the chain, but its content is of a newer release. */
+  /** Links the chain, but this release doesn't understand the format. */
   | (PublicationVerdict & {
       readonly kind: "not-understood";
       readonly formatVersion: number;
@@ -88,14 +90,14 @@
       readonly offset: number;
       readonly reason: string;
     }
-  /** A checkpoint that contradicts what this reader made of the log. */
+  /** A checkpoint that contradicts this reader's state. */
   | {
       readonly kind: "checkpoint-disagrees";
       readonly offset: number;
       readonly asOf: number;
     };
 
-/** A configuration that this process runs under. */
+/** The configuration that is in force in this process. */
 export interface ConfigurationInForce {
   readonly version: number;
   readonly hash: string;
@@ -108,29 +110,29 @@
       readonly kind: "known";
       readonly head: ChainHead | null;
       readonly lastPublication: number | null;
-      readonly contents: readonly KeptContent[];
+      readonly contents: readonly PublishedContent[];
     }
-  /** Earlier records are lost: no verdict until a usable checkpoint. */
+  /** Earlier records are missing: no verdicts until a usable checkpoint. */
   | {
       readonly kind: "unknown";
-      /** Everything from this offset on is in `pending`. */
+      /** `pending` has every record from this offset on. */
       readonly heldFrom: number;
       readonly pending: readonly LogRecord[];
     };
 
 export interface ConfigurationState {
-  /** First offset that was not applied yet. */
+  /** First offset that hasn't been applied. */
   readonly nextOffset: number;
   readonly chain: Chain;
   readonly inForce: ConfigurationInForce | null;
-  /** Latest link that this release does not understand, if not replaced. */
-  readonly notUnderstood: KeptContent | null;
+  /** Latest link in a format unknown to this release, unless replaced since. */
+  readonly notUnderstood: PublishedContent | null;
   /** Log time of the latest accepted publication or usable checkpoint. */
   readonly anchoredAtMs: number | null;
 }
 
 export interface Applied {
   readonly state: ConfigurationState;
-  /** In log order; a checkpoint may decide records that came before it. */
+  /** In log order; a checkpoint may add verdicts on earlier records. */
   readonly verdicts: readonly Verdict[];
 }
--- a/src/configuration/verdict.ts
+++ b/src/configuration/verdict.ts
@@ -1,9 +1,11 @@
-/** What a verdict means for the operator who published. */
+/** Maps a verdict to the error that the publishing operator sees. */
 import { failure, type ApricotdeckError } from "../internal.js";
-import { problemsToFailure } from "./check.js";
+import { toConfigurationError } from "./check.js";
 import type { Verdict } from "./types.js";
 
-/** Nothing when the publication is a link of the chain. */
+/**
+ * Undefined if the publication was accepted or is a repeat of the latest link.
+ */
 export function verdictFailure(verdict: Verdict): ApricotdeckError | undefined {
   switch (verdict.kind) {
     case "accepted":
@@ -18,7 +20,7 @@
       return failure(1102, { offset, basedOn, latest });
     }
     case "invalid":
-      return problemsToFailure(verdict.problems);
+      return toConfigurationError(verdict.problems);
     case "unreadable": {
       const { offset, reason } = verdict;
       return failure(1105, { offset, reason });
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,6 @@
-/** Public interface of the library: the coordination parts, free of sockets. */
+/**
+ * Public interface of the library: the coordination logic, without network I/O.
+ */
 
 // shared
 export {
--- a/src/internal.ts
+++ b/src/internal.ts
@@ -1,4 +1,4 @@
-/** The coordination parts, free of sockets, for use inside the product. */
+/** Internal exports: the coordination logic, without network I/O. */
 
 // shared
 export * from "./shared/deferred.js";
--- a/src/platform/json-value.ts
+++ b/src/platform/json-value.ts
@@ -1,20 +1,26 @@
-/** JSON from elsewhere, read strictly: bytes, then text, then a schema. */
+/**
+ * Strict parsing of JSON from other processes: UTF-8, JSON syntax, then a
+ * schema.
+ */
 import type { z } from "zod";
 import { raise, toFailure } from "../internal.js";
 
-/** A reason names so many of the fields that don't fit. */
-const MOST_ISSUES = 3;
+/** An error names at most this many schema violations. */
+const MAX_REPORTED_ISSUES = 3;
 
 /**
- * Bytes that are no UTF-8 would turn into replacement characters and pass for
- * a name or an address that nobody wrote.
+ * Fatal, because invalid UTF-8 would otherwise decode to replacement characters
+ * and be taken for a valid name or address.
  */
-const strictText = new TextDecoder("utf-8", { fatal: true, ignoreBOM: true });
+const strictUtf8Decoder = new TextDecoder("utf-8", {
+  fatal: true,
+  ignoreBOM: true,
+});
 
 /** Throws 1903. */
 export function parseJson(bytes: Uint8Array): unknown {
   try {
-    return JSON.parse(strictText.decode(bytes)) as unknown;
+    return JSON.parse(strictUtf8Decoder.decode(bytes)) as unknown;
   } catch (error) {
     throw toFailure(error, 1903);
   }
@@ -34,7 +40,7 @@
 
 function describeIssues(issues: readonly z.core.$ZodIssue[]): string {
   return issues
-    .slice(0, MOST_ISSUES)
+    .slice(0, MAX_REPORTED_ISSUES)
     .map(({ path, message }) => `${path.join(".")}: ${message}`)
     .join("; ");
 }
--- a/src/platform/keyed-topic.ts
+++ b/src/platform/keyed-topic.ts
@@ -1,15 +1,19 @@
-/** A keyed topic of the platform's store: the newest record of each key. */
+/**
+ * Keyed (compacted) topics of the platform's store, which keep the newest
+ * record of each key.
+ */
 
 export interface KeyedRecord {
   readonly key: string;
   /**
-   * Absent when the key was dropped. Without bytes where a value is there that
-   * the store's answer doesn't give; no decoder takes that for one.
+   * Undefined if the key was deleted. Empty if the record has a value that
+   * can't be read from the store's answer; every decoder rejects an empty
+   * value.
    */
   readonly value: Buffer | undefined;
 }
 
-/** Something in a topic that isn't a record: no key can be read from it. */
+/** A record of a topic whose key can't be decoded. */
 export interface UnreadableRecord {
   readonly content: Buffer;
   readonly reason: string;
@@ -18,32 +22,33 @@
 export interface KeyedPage {
   readonly records: readonly KeyedRecord[];
   readonly unreadable: readonly UnreadableRecord[];
-  /** Offset from which to read on. */
+  /** Offset of the next read. */
   readonly nextOffset: number;
-  /** Of the store when it answered; offsets of another one mean nothing here. */
+  /** Era of the store when it answered; offsets are valid in their era only. */
   readonly era: number;
 }
 
-/** Writes records of a topic of our own. */
+/** Writes records to one of this product's own topics. */
 export interface KeyedWriter {
   /**
-   * Throws 1901: the record may have been written all the same. What was written
-   * is gone when the store comes back from an older copy; its writer writes it
-   * again.
+   * Throws 1901, after which the record may still have been written. Records
+   * are lost when the store is restored from an older copy; the caller has to
+   * write them again.
    */
   readonly put: (key: string, value: Buffer) => Promise<void>;
 }
 
 /**
- * What the adapter of a platform provides. Both throw 1901 on an outage, 1903
- * for an answer of which nothing can be read, and 1904 for one of an earlier era.
+ * Read access to a keyed topic, implemented by the platform's adapter. Both
+ * methods throw 1901 on an outage, 1903 for an answer that can't be decoded,
+ * and 1904 for an answer of an earlier era.
  */
 export interface KeyedTopic {
-  /** The newest record of each key, in the order in which they were written. */
+  /** The newest record of each key, in write order. */
   readonly newest: (signal: AbortSignal) => Promise<KeyedPage>;
   /**
-   * What was written since the offset, waiting up to `waitMs` for a record.
-   * Throws 1902 when the store has forgotten that part of the history.
+   * Records written since the offset; waits up to `waitMs` for the first one.
+   * Throws 1902 if the store no longer holds that part of the history.
    */
   readonly changes: (
     fromOffset: number,
--- a/src/platform/log-client.ts
+++ b/src/platform/log-client.ts
@@ -6,7 +6,7 @@
 
 export interface LogRecord {
   readonly offset: number;
-  /** When the log took the record, ms since the Unix epoch. */
+  /** When the log stored the record, ms since the Unix epoch. */
   readonly appendedAtMs: number;
   readonly data: Buffer;
 }
@@ -22,7 +22,7 @@
 export interface ReadOptions {
   readonly from: number;
   readonly limit?: number;
-  /** Longest wait for a record when there is none yet. */
+  /** Longest wait for a record if there is none yet. */
   readonly waitMs?: number;
   readonly signal?: AbortSignal;
 }
@@ -34,7 +34,7 @@
   readonly signal?: AbortSignal;
 }
 
-const GONE = 410;
+const HTTP_GONE = 410;
 const APPEND_TIMEOUT_MS = 5000;
 const READ_TIMEOUT_MS = 5000;
 const DEFAULT_LIMIT = 500;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Offset of the first record. A failure (1901) leaves open whether the
-   * append took effect: only reading tells.
+   * Returns the offset of the first record. After a failure (1901) the append
+   * may still have taken effect; only reading the log tells.
    */
   async append(stream: string, records: readonly Buffer[]): Promise<number> {
     const body = JSON.stringify({
@@ -74,10 +74,10 @@
       body,
       timeoutMs: APPEND_TIMEOUT_MS,
     });
-    return parse(appendSchema, answer).offset;
+    return parseAnswer(appendSchema, answer).offset;
   }
 
-  /** Throws 1902 when the log no longer holds `from`. */
+  /** Throws 1902 if the log no longer holds `from`. */
   async read(stream: string, options: ReadOptions): Promise<LogPage> {
     const { from, limit = DEFAULT_LIMIT, waitMs = 0, signal } = options;
     const query = `from=${from}&limit=${limit}&waitMs=${waitMs}`;
@@ -86,7 +86,7 @@
       timeoutMs: waitMs + READ_TIMEOUT_MS,
       ...(signal === undefined ? {} : { signal }),
     });
-    const page = parse(pageSchema, answer);
+    const page = parseAnswer(pageSchema, answer);
     const records = page.records.map((record) => ({
       ...record,
       data: Buffer.from(record.data, "base64"),
@@ -104,8 +104,8 @@
         ...(body === undefined ? {} : { body }),
       });
       const answer: unknown = await response.body.json();
-      if (response.statusCode === GONE) {
-        raise(1902, parse(goneSchema, answer));
+      if (response.statusCode === HTTP_GONE) {
+        raise(1902, parseAnswer(goneSchema, answer));
       }
       if (response.statusCode !== 200) {
         raise(1901, { path, status: response.statusCode });
@@ -117,7 +117,7 @@
   }
 }
 
-function parse<T>(schema: z.ZodType<T>, answer: unknown): T {
+function parseAnswer<T>(schema: z.ZodType<T>, answer: unknown): T {
   const result = schema.safeParse(answer);
   if (result.success) return result.data;
   return raise(1903, { reason: result.error.message });
--- a/src/platform/record-findings.ts
+++ b/src/platform/record-findings.ts
@@ -1,17 +1,16 @@
 /**
- * Findings on records that can't be used. One such record is read again and
- * again, by every reading of a whole topic: it is told once for each content,
- * so that the log shows new findings and the count means something.
+ * Reports records that can't be used. Every full read of a topic returns such a
+ * record again, so each content is logged and counted only once; otherwise the
+ * repeats would hide new findings and inflate the count.
  */
 import { createHash } from "node:crypto";
 import type { Emit, Measurements } from "../internal.js";
 import type { UnreadableRecord } from "./keyed-topic.js";
 
-/** A record that can't be used. */
 export interface UnusableRecord {
-  /** Name of the topic's follower. */
+  /** Name under which the topic is followed. */
   readonly stream: string;
-  /** Empty where it can't be read. */
+  /** Empty if it can't be read. */
   readonly key: string;
   readonly content: Uint8Array;
 }
@@ -25,13 +24,16 @@
   readonly measurements: Measurements;
 }
 
-/** Findings remembered; the one seen longest ago is told again, if ever. */
+/**
+ * Findings remembered. Beyond that the least recently seen one is evicted, and
+ * reported again if it recurs.
+ */
 export const MOST_REMEMBERED = 1000;
-/** Characters of a key or a reason that a line shows. */
-const LONGEST_TEXT = 200;
+/** Longer keys and reasons are cut in the log. */
+const MAX_LOGGED_CHARACTERS = 200;
 
 export class RecordFindings {
-  /** Digests of stream, key and content, the one seen last at the end. */
+  /** Digests of stream, key and content, least recently seen first. */
   private readonly known = new Set<string>();
 
   private constructor(private readonly inputs: RecordFindingsInputs) {}
@@ -40,43 +42,47 @@
     return new RecordFindings(inputs);
   }
 
-  /** Counts the record if it is new; for findings with an event of their own. */
+  /**
+   * Whether the record is new; counts it then. For findings with their own
+   * event.
+   */
   isNew(record: UnusableRecord): boolean {
     const digest = digestOf(record);
     const isKnown = this.known.delete(digest);
     this.known.add(digest);
     if (isKnown) return false;
-    this.forgetOldest();
+    this.evictOldest();
     const labels = { topic: record.stream };
     this.inputs.measurements.count("recordsUnusable", labels);
     return true;
   }
 
+  /** Counts and logs the finding if it is new. */
   note(finding: RecordFinding): void {
     if (!this.isNew(finding)) return;
     const { stream, key, reason } = finding;
     this.inputs.emit(193, {
       stream,
-      key: key.slice(0, LONGEST_TEXT),
-      reason: reason.slice(0, LONGEST_TEXT),
+      key: key.slice(0, MAX_LOGGED_CHARACTERS),
+      reason: reason.slice(0, MAX_LOGGED_CHARACTERS),
     });
   }
 
-  /** What a page of the topic held beside its records. */
+  /** Reports the records of a page whose key can't be decoded. */
   noteUnreadable(stream: string, records: readonly UnreadableRecord[]): void {
     for (const { content, reason } of records) {
       this.note({ stream, key: "", content, reason });
     }
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     if (this.known.size <= MOST_REMEMBERED) return;
     const [oldest] = this.known;
     this.known.delete(oldest);
   }
 }
 
-/** Lengths keep apart where one part ends and the next begins. */
+/** The lengths make the concatenation of stream and key unambiguous. */
 function digestOf({ stream, key, content }: UnusableRecord): string {
   return createHash("sha256")
     .update(`${stream.length}.${key.length}.${stream}${key}`)
--- a/src/platform/store-era.ts
+++ b/src/platform/store-era.ts
@@ -1,10 +1,10 @@
 /**
- * The era of the platform's store. When the store comes back from a copy, all
- * that was written since the copy is gone, and offsets and generations are given
- * out again. Each such return begins a new era, which every answer names.
+ * Era of the platform's store, an epoch number that every answer carries. When
+ * the store is restored from a copy, everything written since the copy is lost,
+ * and offsets and generations are reused. Each such restore starts a new era.
  */
 
-/** Of a store that names none. */
+/** Era of a store whose answers don't name one. */
 export const FIRST_ERA = 0;
 
 export class StoreEra {
@@ -12,23 +12,24 @@
   private readonly listeners = new Set<(era: number) => void>();
 
   private constructor() {
-    // Made by create.
+    // Use `create`.
   }
 
   static create(): StoreEra {
     return new StoreEra();
   }
 
-  /** The latest that an answer has named. */
+  /** Latest era named by an answer. */
   get current(): number {
     return this.highest;
   }
 
   /**
-   * False for an answer of an earlier era than the current one, which tells what
-   * the store has lost. `era`: as the answer names it, if it does.
+   * False if the answer is of an earlier era than the current one; it may
+   * contain records that the store has lost since. `era`: undefined if the
+   * answer doesn't name one.
    */
-  see(era: number | undefined): boolean {
+  observe(era: number | undefined): boolean {
     if (era === undefined || era === this.highest) return true;
     if (era < this.highest) return false;
     this.highest = era;
@@ -36,7 +37,7 @@
     return true;
   }
 
-  /** Called for each new era, the first that is seen included. */
+  /** Registers a listener for every new era, including the first one seen. */
   onRise(listener: (era: number) => void): void {
     this.listeners.add(listener);
   }
--- a/src/platform/topic-follower.ts
+++ b/src/platform/topic-follower.ts
@@ -1,57 +1,61 @@
 /**
- * Keeps up with a keyed topic: all newest records once, then what changes. An
- * outage is told once at each end; a forgotten history is read anew, and so is
- * everything when the store comes back from an older copy.
+ * Follows a keyed topic: reads the newest record of each key once, then the
+ * changes. The start and the end of an outage are each reported once. All
+ * newest records are read again if the store no longer holds the history or was
+ * restored from an older copy.
  */
 import { pause } from "../daemon/background-task.js";
 import { toFailure, type Emit, type Random } from "../internal.js";
 import type { KeyedPage, KeyedRecord, KeyedTopic } from "./keyed-topic.js";
 import type { RecordFindings } from "./record-findings.js";
 
-/** First pause after a failed call, ms. */
-const FIRST_BACKOFF_MS = 100;
+const INITIAL_BACKOFF_MS = 100;
 /**
- * Longest pause, ms. Refused calls count against the store's limit as well;
- * half a second finds its return well inside the two seconds in which
- * registrations and configurations have to take effect.
+ * Refused calls count against the store's limit too, so the pause can't be much
+ * shorter. Half a second detects the store's recovery well within the two
+ * seconds in which registrations and configurations must take effect.
  */
-const LONGEST_BACKOFF_MS = 500;
-const HISTORY_FORGOTTEN = 1902;
-const ANSWER_OUTDATED = 1904;
+const MAX_BACKOFF_MS = 500;
+const HISTORY_LOST_ERROR = 1902;
+const ANSWER_OUTDATED_ERROR = 1904;
 
-/** Why all newest records are read. */
-type ReadCause = "start" | "forgotten" | "returned";
+/**
+ * Why all newest records are read: first read, history lost, or store restored.
+ */
+type FullReadCause = "start" | "forgotten" | "returned";
 
 export interface FollowOptions {
   readonly name: string;
   readonly topic: KeyedTopic;
-  /** How long the store holds a read open for a record, ms. */
+  /** How long the store holds a read open if there is no record, ms. */
   readonly waitMs: number;
-  /** Least time from one read to the next, ms. */
+  /** Pause after each successful read, ms. */
   readonly intervalMs: () => number;
   readonly random: Random;
   readonly emit: Emit;
-  /** Takes what the topic holds beside records. */
+  /** Receives the records whose key can't be decoded. */
   readonly findings: RecordFindings;
   /**
-   * All newest records: at the start, when history was forgotten, and when the
-   * store came back from an older copy.
+   * Receives all newest records: at the start, after the history was lost, and
+   * after the store was restored from an older copy.
    */
   readonly onSnapshot: (records: readonly KeyedRecord[]) => void;
   /**
-   * In the order in which they were written. Also given the records of a
-   * snapshot, one at a time, when `onSnapshot` has thrown.
+   * Receives changed records in write order, and the records of a snapshot one
+   * at a time after `onSnapshot` has thrown.
    */
   readonly onChanges: (records: readonly KeyedRecord[]) => void;
   /**
-   * The store came back from an older copy; the snapshot follows. Given when the
-   * last call was made in which it hadn't shown so, by `performance.now()`.
+   * The store was restored from an older copy; the snapshot follows. The
+   * argument is the start of the last call that didn't show the new era, on the
+   * clock of `performance.now()`.
    */
   readonly onReturned: (lastBeforeMs: number) => void;
   readonly onLost: () => void;
   /**
-   * Given when the last call that failed was made, by `performance.now()`: the
-   * store can't have been back before. Comes before what was read is taken in.
+   * The store answers again; called before the records read are applied. The
+   * argument is the start of the last failed call, on the clock of
+   * `performance.now()`: the store can't have recovered before.
    */
   readonly onRestored: (lastFailedAtMs: number) => void;
 }
@@ -67,11 +71,11 @@
 
 class TopicFollower {
   private offset: number | undefined;
-  /** Of the offset; undefined before the first reading. */
+  /** Era of `offset`; undefined before the first read. */
   private era: number | undefined;
-  private cause: ReadCause = "start";
-  /** When the last call of the known era was made. */
-  private lastCalledAtMs = 0;
+  private cause: FullReadCause = "start";
+  /** Start of the last call that didn't show a new era. */
+  private lastCallInEraAtMs = 0;
   private failures = 0;
   private lostAtMs = 0;
   private lastFailedAtMs = 0;
@@ -90,21 +94,21 @@
     try {
       await this.read(calledAtMs);
       this.onSuccess();
-      const isReadAnew = this.offset === undefined;
-      if (!isReadAnew) await pause(this.options.intervalMs(), this.signal);
+      const needsFullRead = this.offset === undefined;
+      if (!needsFullRead) await pause(this.options.intervalMs(), this.signal);
     } catch (error) {
       if (this.signal.aborted) return;
       const failure = toFailure(error, 1901);
-      if (failure.number === HISTORY_FORGOTTEN) {
-        this.readAnew("forgotten");
+      if (failure.number === HISTORY_LOST_ERROR) {
+        this.scheduleFullRead("forgotten");
         return;
       }
-      if (failure.number === ANSWER_OUTDATED) {
+      if (failure.number === ANSWER_OUTDATED_ERROR) {
         await this.backOff();
         return;
       }
       this.lastFailedAtMs = calledAtMs;
-      this.lastCalledAtMs = calledAtMs;
+      this.lastCallInEraAtMs = calledAtMs;
       this.onFailure(failure.message);
       await this.backOff();
     }
@@ -114,73 +118,74 @@
     const { topic, waitMs, onSnapshot, onChanges } = this.options;
     if (this.offset === undefined) {
       const page = await topic.newest(this.signal);
-      this.noteEra(page.era);
-      this.lastCalledAtMs = calledAtMs;
-      this.tellReadAnew(page);
-      this.takeIn(page, onSnapshot);
+      this.updateEra(page.era);
+      this.lastCallInEraAtMs = calledAtMs;
+      this.emitFullRead(page);
+      this.applyPage(page, onSnapshot);
       return;
     }
     const page = await topic.changes(this.offset, waitMs, this.signal);
-    // The offset was given out again: what lies before it was never read.
+    // In a new era offsets are reused, so records before this one may be
+    // unread.
     if (page.era !== this.era) {
-      this.readAnew("returned");
+      this.scheduleFullRead("returned");
       return;
     }
-    this.lastCalledAtMs = calledAtMs;
-    this.takeIn(page, onChanges);
+    this.lastCallInEraAtMs = calledAtMs;
+    this.applyPage(page, onChanges);
   }
 
-  private readAnew(cause: ReadCause): void {
+  private scheduleFullRead(cause: FullReadCause): void {
     this.offset = undefined;
     this.cause = cause;
   }
 
-  /** Tells of a return before what was read then is taken in. */
-  private noteEra(era: number): void {
-    const before = this.era;
+  /** Reports a restored store before the records read from it are applied. */
+  private updateEra(era: number): void {
+    const previous = this.era;
     this.era = era;
-    if (before === undefined || before === era) return;
+    if (previous === undefined || previous === era) return;
     this.cause = "returned";
-    this.options.onReturned(this.lastCalledAtMs);
+    this.options.onReturned(this.lastCallInEraAtMs);
   }
 
-  private tellReadAnew({ records, nextOffset, era }: KeyedPage): void {
+  private emitFullRead({ records, nextOffset, era }: KeyedPage): void {
     const { name, emit } = this.options;
     const { cause } = this;
     const { length } = records;
     emit(195, { stream: name, cause, records: length, nextOffset, era });
   }
 
-  private takeIn(
+  private applyPage(
     { records, unreadable, nextOffset }: KeyedPage,
-    take: (records: readonly KeyedRecord[]) => void,
+    apply: (records: readonly KeyedRecord[]) => void,
   ): void {
     const { name, findings, onSnapshot } = this.options;
     this.offset = nextOffset;
     this.onSuccess();
     findings.noteUnreadable(name, unreadable);
-    if (records.length === 0 && take !== onSnapshot) return;
-    if (this.isTaken(records, take)) return;
-    this.takeEach(records);
+    if (records.length === 0 && apply !== onSnapshot) return;
+    if (this.tryApply(records, apply)) return;
+    this.applyIndividually(records);
   }
 
   /**
-   * Whoever takes records in judges each for itself and doesn't throw. Should
-   * one do so, the store is well all the same, and what the others say isn't
-   * read again: taken one at a time, a record costs no more than itself.
+   * Callbacks validate each record and shouldn't throw. If one does, that isn't
+   * a failure of the store, and the records aren't read again. Applied one at a
+   * time, a bad record doesn't affect the others.
    */
-  private takeEach(records: readonly KeyedRecord[]): void {
+  private applyIndividually(records: readonly KeyedRecord[]): void {
     for (const record of records) {
-      this.isTaken([record], this.options.onChanges);
+      this.tryApply([record], this.options.onChanges);
     }
   }
 
-  private isTaken(
+  private tryApply(
     records: readonly KeyedRecord[],
-    take: (records: readonly KeyedRecord[]) => void,
+    apply: (records: readonly KeyedRecord[]) => void,
   ): boolean {
     try {
-      take(records);
+      apply(records);
       return true;
     } catch (error) {
       const { name, emit } = this.options;
@@ -209,8 +214,9 @@
   }
 
   private async backOff(): Promise<void> {
-    const doubled = FIRST_BACKOFF_MS * 2 ** Math.min(this.failures - 1, 8);
-    const longest = Math.min(LONGEST_BACKOFF_MS, doubled);
-    await pause(longest * (0.5 + this.options.random() / 2), this.signal);
+    const exponential =
+      INITIAL_BACKOFF_MS * 2 ** Math.min(this.failures - 1, 8);
+    const maximum = Math.min(MAX_BACKOFF_MS, exponential);
+    await pause(maximum * (0.5 + this.options.random() / 2), this.signal);
   }
 }
--- a/src/platform/vm-list-client.ts
+++ b/src/platform/vm-list-client.ts
@@ -1,4 +1,6 @@
-/** Client of the platform's lagging list of VMs (docs/PLATFORM.md). */
+/**
+ * Client of the platform's list of VMs, which may be stale (docs/PLATFORM.md).
+ */
 import { request } from "undici";
 import { z } from "zod";
 import { toFailure } from "../internal.js";
@@ -8,18 +10,18 @@
 
 const TIMEOUT_MS = 3000;
 
-/** The name under which findings on the list are told. */
+/** Stream name in reports of unusable list items. */
 const VM_LIST_STREAM = "vms";
 
 const vmSchema = z.object({
   name: z.string().min(1),
   role: z.enum(["entry", "backend"]),
-  /** host:port between the daemons. */
+  /** host:port for traffic between daemons. */
   address: z.string().refine(isHostPort, "host:port"),
-  /** host:port for operators; only the command-line tool asks there. */
+  /** host:port for operators; only the command-line tool uses it. */
   operators: z.string(),
   dataCentre: z.string(),
-  /** Group of backend servers, for backend server VMs. */
+  /** Group of the backend server; only on backend server VMs. */
   group: z.string().optional(),
   state: z.enum(["live", "leaving"]),
 });
@@ -29,9 +31,9 @@
 export type Vm = Readonly<z.infer<typeof vmSchema>>;
 
 /**
- * The VMs that can be read; another one is left out and told to `findings`,
- * so that it doesn't hide the others. Throws 1903 for an answer that isn't a
- * list.
+ * Returns the valid VMs of the list. An invalid one is skipped and reported to
+ * `findings`, so that it doesn't hide the others. Throws 1903 if the answer
+ * isn't a list.
  */
 export async function readVmList(
   listAddress: string,
@@ -42,13 +44,13 @@
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
     const { vms } = checkValue(listSchema, await response.body.json());
-    return vms.flatMap((vm) => usableVm(vm, findings));
+    return vms.flatMap((vm) => parseVm(vm, findings));
   } catch (error) {
     throw toFailure(error, 1903);
   }
 }
 
-function usableVm(
+function parseVm(
   vm: unknown,
   findings: RecordFindings | undefined,
 ): readonly Vm[] {
--- a/src/release.ts
+++ b/src/release.ts
@@ -1,2 +1,2 @@
-/** Release of all programs of this package. */
+/** Release version of all programs in this package. */
 export const RELEASE = "0.1.0";
--- a/src/shared/answer-end.ts
+++ b/src/shared/answer-end.ts
@@ -1,51 +1,51 @@
 /**
- * What marks the end of an HTTP answer. An answer without such a mark ends with
- * its connection, and the connection closes just the same when the process
- * behind it ends inside the answer: nobody can tell half of it from all of it.
+ * Message framing of HTTP answers. An answer without framing ends when its
+ * connection closes, which also happens if the server crashes in the middle: a
+ * truncated answer can't be told from a complete one.
  */
 
 /**
- * What ends an answer: its head, where no body follows; a length; the last
- * chunk; or nothing but the end of its connection, whole or not.
+ * What delimits an answer: its head, if no body follows; a length; the last
+ * chunk; or only the end of its connection, which may have truncated it.
  */
 export type EndMark = "head" | "length" | "chunks" | "connection";
 
-/** The two headers that frame an answer; a header sent twice is a list. */
+/** The two headers that frame an answer; a repeated header is a list. */
 export interface FramingHeaders {
   readonly "content-length"?: string | readonly string[] | undefined;
   readonly "transfer-encoding"?: string | readonly string[] | undefined;
 }
 
-const FIRST_FINAL = 200;
+const FIRST_FINAL_STATUS = 200;
 const NO_CONTENT = 204;
 const NOT_MODIFIED = 304;
-const HEAD = "HEAD";
+const HEAD_METHOD = "HEAD";
 /**
- * A tab behind the coding would be allowed, but the client library then finds
- * no chunks and reads up to the end of the connection. Too strict costs no more
- * than an answer that is passed on without a mark.
+ * HTTP allows a trailing tab, but the client library then doesn't parse chunks
+ * and reads up to the end of the connection. Being too strict only means that
+ * an answer counts as unframed.
  */
-const CHUNKED_LAST = /(^|,)[ \t]*chunked *$/i;
+const ENDS_WITH_CHUNKED = /(^|,)[ \t]*chunked *$/i;
 
 /**
- * What ends an answer with this head. Of several transfer codings the last one
- * decides, and only chunks have an end of their own; with any other one the
- * length doesn't count either (RFC 9112, 6.3). `method`: the request's.
+ * Framing of an answer with this head (RFC 9112, 6.3). The last transfer coding
+ * decides, and only chunked is self-delimiting; with any other coding, a
+ * content length is ignored. `method`: of the request.
  */
 export function endMarkOf(
   status: number,
   headers: FramingHeaders,
   method = "",
 ): EndMark {
-  if (method === HEAD || hasNoBody(status)) return "head";
+  if (method === HEAD_METHOD || hasNoBody(status)) return "head";
   const codings = headers["transfer-encoding"];
   if (codings !== undefined) {
-    return CHUNKED_LAST.test(String(codings)) ? "chunks" : "connection";
+    return ENDS_WITH_CHUNKED.test(String(codings)) ? "chunks" : "connection";
   }
   return headers["content-length"] === undefined ? "connection" : "length";
 }
 
-/** Whether a reader can tell the whole answer from a part of it. */
+/** Whether a reader can tell a complete answer from a truncated one. */
 export function isEndMarked(
   status: number,
   headers: FramingHeaders,
@@ -55,6 +55,6 @@
 }
 
 function hasNoBody(status: number): boolean {
-  const isInterim = status < FIRST_FINAL;
+  const isInterim = status < FIRST_FINAL_STATUS;
   return isInterim || status === NO_CONTENT || status === NOT_MODIFIED;
 }
--- a/src/shared/connector.ts
+++ b/src/shared/connector.ts
@@ -1,14 +1,16 @@
-/** Connections to servers whose answers may end with their connection. */
+/**
+ * Connections that report a reset as an error, never as the end of an answer.
+ */
 import { Socket } from "node:net";
 import { buildConnector } from "undici";
 
-/** Code of a reset as this module passes it on. */
-const RESET = "UPSTREAM_RESET";
+/** Error code that replaces ECONNRESET. */
+const RESET_CODE = "UPSTREAM_RESET";
 
 /**
- * The client library takes a reset for the end of an answer that has no length
- * of its own, so that half an answer would pass for a whole one. Under another
- * code it is the failure that it is.
+ * The client library treats ECONNRESET as the end of an answer without a
+ * length, so a truncated answer would pass for a complete one. Under another
+ * code it reports the reset as an error.
  */
 export function createConnector(
   options: buildConnector.BuildOptions,
@@ -17,30 +19,30 @@
   return (target, callback) => {
     connector(target, (...result) => {
       const [, socket] = result;
-      // Undefined, whatever its type says, when there is no connection.
+      // Undefined if the connection failed, contrary to its type.
       if (socket instanceof Socket) {
-        renameResets(socket);
-        revealResets(socket);
+        replaceResetCode(socket);
+        detectHiddenResets(socket);
       }
       callback(...result);
     });
   };
 }
 
-function renameResets(socket: Socket): void {
+function replaceResetCode(socket: Socket): void {
   socket.prependListener("error", (error: NodeJS.ErrnoException) => {
-    if (error.code === "ECONNRESET") error.code = RESET;
+    if (error.code === "ECONNRESET") error.code = RESET_CODE;
   });
 }
 
 /**
- * An event loop that finds bytes and a reset at once reports the bytes and a
- * plain end; half an answer without length or chunks would pass for whole. A
- * connection that was closed in order still has a peer when its end is read,
- * one that was reset has none. The address is asked for nowhere before, since
- * the socket would go on telling the one it knows.
+ * If data and a reset arrive in the same turn of the event loop, the socket
+ * reports the data and a normal end, and a truncated answer without length or
+ * chunks would pass for complete. A connection that was closed in order still
+ * has a remote address at its end, a reset one doesn't. Nothing may read the
+ * address earlier, because the socket caches it.
  */
-function revealResets(socket: Socket): void {
+function detectHiddenResets(socket: Socket): void {
   const emit = socket.emit.bind(socket) as (
     event: string | symbol,
     ...values: readonly unknown[]
@@ -49,8 +51,10 @@
     if (event !== "end" || socket.remoteAddress !== undefined) {
       return emit(event, ...values);
     }
-    const reset: NodeJS.ErrnoException = new Error("reset behind the bytes");
-    reset.code = RESET;
+    const reset: NodeJS.ErrnoException = new Error(
+      "connection reset after the last data",
+    );
+    reset.code = RESET_CODE;
     socket.destroy(reset);
     return true;
   };
--- a/src/shared/errors.ts
+++ b/src/shared/errors.ts
@@ -1,26 +1,26 @@
 /**
- * The one table of numbered errors. Every failure of the product is one of
- * these; nothing throws a bare string. docs/ERRORS.md is made from it.
+ * Table of all numbered errors. Every failure of the product is one of these.
+ * docs/ERRORS.md is generated from it.
  */
 
-/** What became of the request that an error answers. */
+/** Outcome of the request that the error answers. */
 export type Outcome =
   /** The work was never started and never will be under this attempt. */
   | "not-run"
-  /** Nobody can tell any more whether the work was started. */
+  /** It can't be determined whether the work was started. */
   | "unknown"
-  /** The work was started and its answer was cut short. */
+  /** The work was started and its answer is incomplete. */
   | "broken-off"
-  /** The error answers no request of a caller. */
+  /** The error isn't an answer to a caller's request. */
   | "none";
 
 export interface ErrorEntry {
   readonly name: string;
-  /** HTTP status for callers; 0 where no caller ever sees it. */
+  /** HTTP status for callers; 0 if callers never see the error. */
   readonly status: number;
   readonly outcome: Outcome;
   readonly text: string;
-  /** What the reader of the error can do. */
+  /** What the caller or operator can do. */
   readonly remedy: string;
 }
 
@@ -90,13 +90,13 @@
     0,
     "none",
     "A record of the configuration stream can't be read.",
-    "Nothing is changed by it; look at who else writes to the stream.",
+    "The record is ignored; check which other process writes to the stream.",
   ),
   1106: entry(
     "configuration-not-understood",
     0,
     "none",
-    "The publication is of a format newer than this release.",
+    "The format of the publication is newer than this release.",
     "The older content stays in force here; upgrade this process.",
   ),
   1107: entry(
@@ -104,7 +104,7 @@
     0,
     "none",
     "A checkpoint contradicts what this process read from the log.",
-    "It is not used; send a support bundle.",
+    "The checkpoint is ignored; send a support bundle.",
   ),
 
   // 1200: requests and answers
@@ -233,14 +233,14 @@
     499,
     "broken-off",
     "The caller closed its connection or stopped reading.",
-    "Keep reading; repeat with the same key to get an answer held for it.",
+    "Read the whole answer; repeat with the same key to get a stored answer.",
   ),
   1219: entry(
     "grace-expired",
     503,
     "broken-off",
     "This process stopped before the answer was complete.",
-    "Connect again; repeat with the same key to get an answer held for it.",
+    "Connect again; repeat with the same key to get a stored answer.",
   ),
 
   1220: entry(
@@ -248,7 +248,7 @@
     502,
     "not-run",
     "The same request has crashed the backend servers that ran it.",
-    "Don't repeat it; find what in it ends the servers' process.",
+    "Don't repeat it; find out what in it crashes the backend servers.",
   ),
 
   // 1300: claims of requests that may not be repeated
@@ -313,7 +313,7 @@
     409,
     "broken-off",
     "The call was run, but its answer is no longer held.",
-    "Look at the effect of the call; don't send it under a new key.",
+    "Check the effect of the call; don't send it under a new key.",
   ),
 
   // 1400: sessions between entry and agent
@@ -424,7 +424,7 @@
     "expert-map-overtaken",
     0,
     "none",
-    "The group formed anew or took another map before the proposal was put.",
+    "The group re-formed or switched its map before the proposal was submitted.",
     "Plan from the map in force and propose again.",
   ),
   1606: entry(
@@ -445,8 +445,8 @@
     "weights-unavailable",
     0,
     "none",
-    "The weight store gave no part of an expert's weights.",
-    "Check the weight store; the fetch goes on where it stopped.",
+    "A part of an expert's weights can't be fetched from the weight store.",
+    "Check the weight store; the fetch resumes where it stopped.",
   ),
 
   // 1700: orders and fencing
@@ -454,7 +454,7 @@
     "order-fenced",
     0,
     "none",
-    "A newer holder has given orders; this fencing number is too old.",
+    "A newer lease holder has given orders; this fencing token is stale.",
     "None needed; the newer holder's orders stand.",
   ),
   1702: entry(
@@ -468,14 +468,14 @@
     "order-unconfirmed",
     0,
     "none",
-    "The engine's state doesn't show the order in time.",
+    "The engine's state didn't confirm the order in time.",
     "Read the state of the engine; send the order again.",
   ),
   1704: entry(
     "lease-not-held",
     0,
     "none",
-    "This process holds no lease for orders, or it has lapsed.",
+    "This process holds no lease for orders, or the lease has expired.",
     "Acquire the lease first.",
   ),
 
@@ -513,7 +513,7 @@
     0,
     "none",
     "The thread that plans expert maps ended.",
-    "None needed; it is started again. If it goes on, send a support bundle.",
+    "None needed; it is restarted. If it ends repeatedly, send a support bundle.",
   ),
 
   // 1900: platform services
@@ -522,7 +522,7 @@
     503,
     "not-run",
     "The platform's log service doesn't answer.",
-    "Wait for the platform; repeatable work goes on.",
+    "Wait for the platform; repeatable requests are still served.",
   ),
   1902: entry(
     "log-record-lost",
@@ -542,8 +542,8 @@
     "store-answer-outdated",
     0,
     "none",
-    "The answer is from before the store came back from an older copy.",
-    "None needed; it is asked again.",
+    "The answer predates the restore of the store from an older copy.",
+    "None needed; the request is repeated.",
   ),
 
   // 2000: command-line tool
@@ -572,7 +572,7 @@
     "process-unknown",
     0,
     "none",
-    "The list of VMs holds no process of this name.",
+    "The list of VMs contains no process of this name.",
     "Run `apricotdeck status` for the names.",
   ),
 } as const satisfies Readonly<Record<number, ErrorEntry>>;
@@ -583,7 +583,7 @@
   Record<string, string | number | boolean | null>
 >;
 
-/** A numbered failure of the table above. */
+/** An error of the table above with its details. */
 export class ApricotdeckError extends Error {
   private constructor(
     readonly number: ErrorNumber,
@@ -607,7 +607,7 @@
   }
 }
 
-/** Makes a failure to be returned. */
+/** Creates an error without throwing it. */
 export function failure(
   number: ErrorNumber,
   detail: ErrorDetail = {},
@@ -616,7 +616,7 @@
   return ApricotdeckError.create(number, detail, cause);
 }
 
-/** The one place that throws. */
+/** Throws a numbered error. */
 export function raise(
   number: ErrorNumber,
   detail: ErrorDetail = {},
@@ -629,7 +629,7 @@
   return Object.hasOwn(errorTable, value);
 }
 
-/** Wraps what a library threw; a numbered failure passes unchanged. */
+/** Wraps an error of a library; a numbered error is returned unchanged. */
 export function toFailure(
   thrown: unknown,
   number: ErrorNumber,
--- a/src/shared/events.ts
+++ b/src/shared/events.ts
@@ -1,6 +1,6 @@
 /**
- * The one table of numbered events. docs/EVENTS.md is made from it, and the
- * time line of the command-line tool shows them over all processes.
+ * Table of all numbered events. docs/EVENTS.md is generated from it, and the
+ * command-line tool's timeline shows the events of all processes.
  */
 
 export type EventLevel = "debug" | "info" | "warn" | "error";
@@ -9,7 +9,7 @@
   readonly name: string;
   readonly level: EventLevel;
   readonly meaning: string;
-  /** Field name to meaning (with unit). */
+  /** Meaning and unit of each field. */
   readonly fields: Readonly<Record<string, string>>;
 }
 
@@ -43,8 +43,8 @@
     reason: "text of the failure",
   }),
   106: entry("lines-left-out", "warn", "Lines were not written.", {
-    event: "number of the event, null when of any",
-    lines: "how many",
+    event: "event number, null if not of a single event",
+    lines: "number of lines left out",
     reason: "budget or reader stalled",
   }),
 
@@ -80,7 +80,7 @@
   115: entry(
     "checkpoint-appended",
     "info",
-    "The state was written to the log, ahead of its retention.",
+    "A checkpoint was appended before the log trims earlier records.",
     { asOf: "last offset that the checkpoint covers" },
   ),
 
@@ -111,13 +111,18 @@
     reason: "why it was dropped",
     count: "frames dropped for this reason since the start",
   }),
-  126: entry("attempt-resumed", "info", "An answer goes on after a loss.", {
-    request: "request id",
-    attempt: "attempt id",
-    runner: "backend server",
-    fromIndex: "first piece still wanted",
-  }),
-  127: entry("request-placed-again", "info", "A request looks for a runner.", {
+  126: entry(
+    "attempt-resumed",
+    "info",
+    "An answer resumes after an interruption.",
+    {
+      request: "request id",
+      attempt: "attempt id",
+      runner: "backend server",
+      fromIndex: "first piece still wanted",
+    },
+  ),
+  127: entry("request-placed-again", "info", "A request is placed again.", {
     request: "request id",
     reason: "proof that it was not run, or repeatable",
     error: "error number of the attempt before",
@@ -128,26 +133,31 @@
     call: "request id",
     attempt: "attempt id",
   }),
-  132: entry("claim-attached", "info", "A repeat gets another's answer.", {
-    call: "request id",
-    attempt: "attempt that holds the claim",
-  }),
+  132: entry(
+    "claim-attached",
+    "info",
+    "A repeated call gets an earlier one's answer.",
+    {
+      call: "request id",
+      attempt: "attempt that holds the claim",
+    },
+  ),
   133: entry(
     "abandoned-claim-landed",
     "info",
-    "A claim landed after its call was given up; it is released.",
+    "A claim reached the log after its call was given up; it is released.",
     { attempt: "attempt id" },
   ),
   134: entry(
     "claim-replaced",
     "info",
-    "An attempt that can't start gave way.",
+    "The claim of an attempt that can't start was replaced.",
     {
       attempt: "attempt id",
       proof: "tombstone, refused or not-dispatched",
     },
   ),
-  135: entry("claim-given-up", "warn", "A call's bounded wait was over.", {
+  135: entry("claim-given-up", "warn", "The maximum wait of a call expired.", {
     call: "request id",
     phase: "claiming, asking, pausing or closing",
   }),
@@ -162,17 +172,22 @@
     session: "session number",
     reason: "why",
   }),
-  143: entry("session-closed", "info", "An agent proved a session closed.", {
+  143: entry("session-closed", "info", "An agent confirmed a closed session.", {
     runner: "backend server",
     session: "session number",
     started: "attempts of it that had started",
   }),
 
-  144: entry("session-unproved", "warn", "A lost session stays unproved.", {
-    runner: "backend server",
-    session: "session number",
-    requests: "requests whose outcome hangs on it",
-  }),
+  144: entry(
+    "session-unproved",
+    "warn",
+    "A lost session isn't confirmed as closed.",
+    {
+      runner: "backend server",
+      session: "session number",
+      requests: "requests whose outcome depends on it",
+    },
+  ),
   145: entry("agent-leaving", "info", "An agent takes no new work.", {
     runner: "backend server",
     source: "notice, list or refusal",
@@ -211,7 +226,7 @@
   }),
 
   // 160: expert map
-  160: entry("map-proposal-ended", "info", "A proposed map got its end.", {
+  160: entry("map-proposal-ended", "info", "A map proposal ended.", {
     mapHash: "content hash of the map",
     end: "committed, aborted, or the error number",
     durationMs: "time since proposeMap, ms",
@@ -236,38 +251,48 @@
     step: "step that is held",
     heldMs: "time held so far, ms",
   }),
-  165: entry("weight-fetch-failed", "warn", "A part of weights didn't come.", {
-    layer: "layer",
-    expert: "expert",
-    error: "error number",
-    reason: "text of the failure",
-  }),
-  166: entry("formation-started", "warn", "This agent forms the group anew.", {
+  165: entry(
+    "weight-fetch-failed",
+    "warn",
+    "Fetching a part of weights failed.",
+    {
+      layer: "layer",
+      expert: "expert",
+      error: "error number",
+      reason: "text of the failure",
+    },
+  ),
+  166: entry("formation-started", "warn", "This agent re-forms the group.", {
     formation: "number and author",
     members: "members of the group",
   }),
 
   // 170: orders and fencing
-  170: entry("order-confirmed", "info", "The engine shows the order.", {
-    fencing: "fencing number of the order",
-    kind: "kind of the order",
-    value: "what was ordered",
-    durationMs: "time since it was taken, ms",
-  }),
+  170: entry(
+    "order-confirmed",
+    "info",
+    "The engine's state confirms the order.",
+    {
+      fencing: "fencing token of the order",
+      kind: "kind of the order",
+      value: "what was ordered",
+      durationMs: "time since it was taken, ms",
+    },
+  ),
   171: entry("order-refused", "warn", "An order was refused.", {
-    fencing: "fencing number of the order",
-    highest: "highest fencing number known",
+    fencing: "fencing token of the order",
+    highest: "highest fencing token known",
     error: "error number",
   }),
-  172: entry("order-waits", "info", "Orders wait until old ones are past.", {
+  172: entry("order-waits", "info", "Orders wait for earlier ones to lapse.", {
     waitMs: "time to wait, ms",
     reason: "start or lost answer",
   }),
   173: entry("lease-acquired", "info", "This process holds the lease.", {
-    fencing: "fencing number",
+    fencing: "fencing token",
   }),
   174: entry("lease-lost", "warn", "This process holds the lease no longer.", {
-    fencing: "fencing number",
+    fencing: "fencing token",
     reason: "expired or superseded",
   }),
 
@@ -281,14 +306,16 @@
     skewAfter: "forecast of step time over even step time, new map",
     savedSeconds: "step time saved over the horizon, s",
     skewWeight: "weight of skew against cost in force",
-    confidence: "share of foretold savings that came true of late, 0 to 1",
+    confidence:
+      "share of the recently forecast savings that was realized, 0 to 1",
   }),
   182: entry("experts-stayed", "debug", "The expert map stays as it is.", {
     map: "version of the map",
     reason:
       "no-reports, switch-pending, balanced, within-noise, no-better-map or not-worth-cost",
     skew: "forecast of step time over even step time",
-    confidence: "share of foretold savings that came true of late, 0 to 1",
+    confidence:
+      "share of the recently forecast savings that was realized, 0 to 1",
   }),
   183: entry("rank-slow", "warn", "A rank is slower than the others.", {
     rank: "number of the rank",
@@ -311,26 +338,27 @@
   193: entry("record-unusable", "warn", "A record of the store is left out.", {
     stream: "stream of the store",
     key: "the record's key, empty when it can't be read",
-    reason: "what doesn't fit; told once for each content",
+    reason: "what is invalid; reported once for each content",
   }),
-  194: entry("records-not-taken", "error", "Taking records in failed.", {
+  194: entry("records-not-taken", "error", "Applying records failed.", {
     stream: "stream of the store",
-    records: "how many; with more than one, each is taken again for itself",
+    records:
+      "number of records; if more than one, each is applied again on its own",
     reason: "text of the failure",
   }),
   195: entry("log-read-anew", "info", "All newest records were read.", {
     stream: "stream of the store",
     cause:
-      "start, forgotten when the history had gone, or returned when the store came back from an older copy",
-    records: "how many",
-    nextOffset: "offset from which it is followed",
-    era: "of the store, 0 when it names none",
+      "start, forgotten if the history was gone, or returned if the store was restored from an older copy",
+    records: "number of records",
+    nextOffset: "offset from which changes are read",
+    era: "era of the store, 0 if it names none",
   }),
   196: entry(
     "store-era",
     "warn",
-    "The store names a new era: what was written last may be gone.",
-    { era: "as its answers name it; the first is seen at the start" },
+    "The store reports a new era: its latest records may be lost.",
+    { era: "era named by its answers; the first one is reported at the start" },
   ),
 
   // 200: direct path of an entry
@@ -352,26 +380,31 @@
     runner: "id of the runner",
     service: "service that it runs",
     address: "host:port",
-    startedAtMs: "start of its life, Unix ms; null when not told",
+    startedAtMs: "start time of the runner, Unix ms; null if unknown",
   }),
   212: entry("runner-left", "info", "A runner gets no new work.", {
     runner: "id of the runner",
     reason:
       "leaving, removed, lapsed, address taken, unusable entry or started again",
   }),
-  213: entry("pace-limit-lowered", "info", "Streams are slow; less starts.", {
-    group: "group, or service without groups",
-    limit: "requests that this entry runs at once",
-    pauseMs: "mean pause between events, ms",
-  }),
-  214: entry("request-refused", "info", "A request got no runner's answer.", {
+  213: entry(
+    "pace-limit-lowered",
+    "info",
+    "Streams are slow; the limit was lowered.",
+    {
+      group: "group, or service without groups",
+      limit: "requests that this entry runs at once",
+      pauseMs: "mean pause between events, ms",
+    },
+  ),
+  214: entry("request-refused", "info", "A request ended without an answer.", {
     request: "attempt id of the caller",
     error: "error number",
     route: "route",
-    retryAfterMs: "when the caller may come back, ms; 0 when not told",
+    retryAfterMs: "time after which the caller may retry, ms; 0 if not given",
     ageMs: "time since its arrival, ms",
   }),
-  215: entry("attempt-ended", "info", "An attempt didn't end in an answer.", {
+  215: entry("attempt-ended", "info", "An attempt ended without an answer.", {
     request: "attempt id of the caller",
     runner: "id of the runner",
     end: "answered, not-run, unsent, broken or given-up",
@@ -387,12 +420,12 @@
     endMark: "what ended it: head, length, chunks, or only its connection",
     version: "configuration that decided",
     attempts: "attempts made",
-    waitedMs: "time until it had a place, ms",
+    waitedMs: "time that it waited to be placed, ms",
     totalMs: "time from arrival to the end, ms",
   }),
-  217: entry("runner-pace", "info", "A runner turned slow, or recovered.", {
+  217: entry("runner-pace", "info", "A runner became slow, or recovered.", {
     address: "host:port",
-    slowness: "times as long as usual that it takes for its work",
+    slowness: "processing time over the usual processing time",
   }),
   218: entry("pace-unknown", "warn", "A runner's pace couldn't be read.", {
     address: "host:port",
@@ -401,10 +434,10 @@
   219: entry(
     "runner-missing",
     "info",
-    "A registration has gone around an outage; its runner is kept for now.",
+    "A registration disappeared around an outage; its runner is kept for now.",
     {
       runner: "id of the runner",
-      keptMs: "time in which it has to register again, ms",
+      keptMs: "time within which it has to register again, ms",
     },
   ),
 
@@ -412,51 +445,56 @@
   220: entry("map-planned", "info", "A better expert map was planned.", {
     map: "version of the new map",
     copies: "experts to copy",
-    tokens: "expert choices, fading, that the plan is made from",
+    tokens: "expert choices, decayed over time, that the plan is based on",
     skewBefore: "work of the most loaded ranks over even work, old map",
-    skewAfter: "the same on the new map, as foretold",
+    skewAfter: "forecast of the same on the new map",
   }),
   221: entry("map-switched", "info", "All ranks run on the planned map.", {
     map: "version of the map",
     copies: "experts that were copied",
     durationMs: "time since it was planned, ms",
   }),
-  222: entry("rank-order-failed", "warn", "A rank didn't take an order.", {
+  222: entry("rank-order-failed", "warn", "A rank didn't accept an order.", {
     order: "prepare, arm, hold or release",
     reason: "status, or why there was no answer",
   }),
   223: entry("group-incomplete", "warn", "Not all ranks can be reached.", {
     reason: "failure seen",
   }),
-  224: entry("rank-pace", "info", "Entries were told of a slow rank.", {
+  224: entry("rank-pace", "info", "A slow rank was reported to the entries.", {
     address: "host:port of the runner",
-    slowness: "times as long as usual that it takes; about 1 on recovery",
+    slowness: "processing time over the usual one; about 1 on recovery",
   }),
 
   // 230: requests that crash runners
   231: entry(
     "crash-suspected",
     "warn",
-    "A runner crashed; what ran there is suspected until it comes to its end.",
+    "A runner crashed; the requests that ran there are suspects until they complete.",
     {
       runner: "id of the runner",
       suspects: "requests that were lost there",
-      withheld: "how many of them are not run any more",
+      withheld: "number of them that are no longer run",
     },
   ),
-  232: entry("suspect-acquitted", "info", "A suspect came to its end.", {
+  232: entry("suspect-acquitted", "info", "A suspected request completed.", {
     request: "attempt id of the caller",
   }),
-  233: entry("group-told", "info", "A group's ranks were written down.", {
+  233: entry("group-told", "info", "The ranks of a group were recorded.", {
     group: "service and group",
     epoch: "epoch of the group",
-    ranks: "how many ranks it has",
-  }),
-  234: entry("group-formed", "info", "A group has formed, anew or for once.", {
-    group: "service and group",
-    epoch: "epoch of the group",
-    ranks: "how many ranks it has",
+    ranks: "number of its ranks",
   }),
+  234: entry(
+    "group-formed",
+    "info",
+    "A group has formed, initially or again.",
+    {
+      group: "service and group",
+      epoch: "epoch of the group",
+      ranks: "number of its ranks",
+    },
+  ),
 } as const satisfies Readonly<Record<number, EventEntry>>;
 
 export type EventNumber = keyof typeof eventTable;
@@ -465,7 +503,7 @@
   Record<string, string | number | boolean | null>
 >;
 
-/** Takes an event; decision code gets it as an argument. */
+/** Emits an event; passed to decision code as an argument. */
 export type Emit = (number: EventNumber, fields?: EventFields) => void;
 
 export const ignoreEvents: Emit = () => undefined;
--- a/src/shared/exhaustive.ts
+++ b/src/shared/exhaustive.ts
@@ -1,4 +1,4 @@
-/** Marks a case that the types rule out. */
+/** Marks a case that the types exclude. */
 export function unreachable(value: never): never {
   throw new TypeError(`unexpected value: ${JSON.stringify(value)}`);
 }
--- a/src/shared/hybrid-clock.ts
+++ b/src/shared/hybrid-clock.ts
@@ -1,7 +1,7 @@
 /**
- * Hybrid logical clock (Kulkarni et al. 2014): a reading taken after a message
- * arrived is always greater than the one the message carried, so events of
- * different processes sort by cause even when their wall clocks differ.
+ * Hybrid logical clock (Kulkarni et al. 2014). A reading taken after a message
+ * was received is always greater than the one in the message, so events of
+ * different processes sort in causal order even if their wall clocks differ.
  */
 
 export interface ClockReading {
@@ -11,14 +11,14 @@
   readonly counter: number;
 }
 
-/** Milliseconds from some fixed point. */
+/** Milliseconds since a fixed point in time. */
 export type Now = () => number;
 
 /**
- * A peer whose wall clock runs far ahead would drag every clock with it;
- * readings further ahead than this are not followed.
+ * Readings further ahead of the wall clock are ignored, so that one peer with a
+ * wrong clock doesn't advance the clocks of all others.
  */
-const MAXIMUM_LEAD_MS = 60_000;
+const MAX_PEER_LEAD_MS = 60_000;
 
 export class HybridClock {
   private last: ClockReading = { physicalMs: 0, counter: 0 };
@@ -33,10 +33,10 @@
     return this.advance(this.last);
   }
 
-  /** Takes in the reading of a received message. */
+  /** Merges the reading of a received message. */
   observe(reading: ClockReading | undefined): ClockReading {
     if (reading === undefined) return this.read();
-    if (reading.physicalMs > this.now() + MAXIMUM_LEAD_MS) return this.read();
+    if (reading.physicalMs > this.now() + MAX_PEER_LEAD_MS) return this.read();
     const later = compareReadings(reading, this.last) > 0 ? reading : this.last;
     return this.advance(later);
   }
--- a/src/shared/metrics.ts
+++ b/src/shared/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * The one table of metrics. docs/METRICS.md is made from it; the daemons
+ * Table of all metrics. docs/METRICS.md is generated from it, and the daemons
  * register exactly these.
  */
 
@@ -12,7 +12,9 @@
   readonly buckets?: readonly number[];
 }
 
-const SECONDS = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30, 100];
+const DURATION_BUCKETS_SECONDS = [
+  0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30, 100,
+];
 
 export const metricTable = {
   // requests
@@ -22,7 +24,7 @@
     unit: "s",
     labels: ["outcome"],
     meaning: "Time from acceptance to the final outcome of a request.",
-    buckets: SECONDS,
+    buckets: DURATION_BUCKETS_SECONDS,
   },
   requestsInFlight: {
     name: "apricotdeck_requests_in_flight",
@@ -55,7 +57,7 @@
     unit: "s",
     labels: [],
     meaning: "Time from a stream's arrival to its first event.",
-    buckets: SECONDS,
+    buckets: DURATION_BUCKETS_SECONDS,
   },
   eventPause: {
     name: "apricotdeck_event_pause_seconds",
@@ -63,7 +65,7 @@
     unit: "s",
     labels: [],
     meaning: "Pause between two events of a stream.",
-    buckets: SECONDS,
+    buckets: DURATION_BUCKETS_SECONDS,
   },
   attemptsEnded: {
     name: "apricotdeck_attempts_ended_total",
@@ -152,11 +154,9 @@
     unit: "s",
     labels: ["step"],
     meaning: "Time from the beginning of a call to each of its steps.",
-    buckets: SECONDS,
+    buckets: DURATION_BUCKETS_SECONDS,
   },
 
-  // sessions
-
   // admission and placement
   admissionWaiting: {
     name: "apricotdeck_admission_waiting",
@@ -194,7 +194,7 @@
     unit: "s",
     labels: [],
     meaning: "Time from a proposal of this agent to its end.",
-    buckets: SECONDS,
+    buckets: DURATION_BUCKETS_SECONDS,
   },
   mapHeld: {
     name: "apricotdeck_map_held_seconds_total",
@@ -231,8 +231,6 @@
     labels: ["end"],
     meaning: "Orders to the engine by their end.",
   },
-
-  // balance
 } as const satisfies Readonly<Record<string, MetricEntry>>;
 
 export type MetricKey = keyof typeof metricTable;
@@ -240,7 +238,7 @@
 /** Values of a metric's labels. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
-/** Takes measurements; decision code gets it as an argument. */
+/** Records metrics; passed to decision code as an argument. */
 export interface Measurements {
   readonly count: (
     key: MetricKey,
--- a/src/shared/random.ts
+++ b/src/shared/random.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers, so that every run can be repeated from its seed. */
+/** Seeded random numbers, so that a run is reproducible from its seed. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
@@ -10,7 +10,7 @@
   return () => uniformFloat64(generator);
 }
 
-/** A whole number in [0, limit). */
+/** Integer in [0, limit). */
 export function randomBelow(random: Random, limit: number): number {
   return Math.floor(random() * limit);
 }
--- a/src/shared/timeout.ts
+++ b/src/shared/timeout.ts
@@ -1,10 +1,10 @@
 /**
- * A timeout of a call, joined with a signal that may end it sooner.
+ * Timeout of a call, combined with a signal that may abort it earlier.
  *
- * `AbortSignal.any` holds its sources weakly, and so does the timer of
- * `AbortSignal.timeout`. Once the calling code is optimized nothing else holds
- * the timeout, it is collected as garbage, and a call on a connection that fell
- * silent lasts for good. Here the timer holds the controller.
+ * `AbortSignal.any` references its sources weakly, and so does the timer of
+ * `AbortSignal.timeout`. In optimized code nothing else references the timeout:
+ * it is garbage collected, and a call on a dead connection never ends. Here the
+ * timer references the controller.
  */
 export class Timeout implements Disposable {
   private readonly controller = new AbortController();
@@ -21,7 +21,7 @@
     if (outer?.aborted === true) this.onOuterAbort();
   }
 
-  /** Disposed of when the call has ended. */
+  /** Must be disposed of when the call has ended. */
   static create(durationMs: number, outer?: AbortSignal): Timeout {
     return new Timeout(durationMs, outer);
   }
@@ -40,7 +40,7 @@
   };
 }
 
-/** What `AbortSignal.timeout` gives as its reason. */
+/** Same reason as that of `AbortSignal.timeout`. */
 function timeoutError(): DOMException {
   const text = "The operation was aborted due to timeout";
   return new DOMException(text, "TimeoutError");
--- a/src/shared/unless-aborted.ts
+++ b/src/shared/unless-aborted.ts
@@ -1,8 +1,8 @@
 /**
  * Waits for the work, or rejects with the signal's reason. The HTTP client
- * doesn't look at a request's signal while the request waits for its
- * connection, which behind a cut is as long as the connection attempt lasts.
- * The work itself isn't ended: it has to be given the signal as well.
+ * ignores a request's signal while the request waits for its connection, which
+ * during a network partition takes as long as the connection attempt. The work
+ * itself isn't aborted; it needs the signal too.
  */
 export async function unlessAborted<T>(
   work: Promise<T>,
--- a/tests/cli/tool.test.ts
+++ b/tests/cli/tool.test.ts
@@ -33,7 +33,7 @@
   return file;
 }
 
-async function ask(site: Site): Promise<string> {
+async function completeOnce(site: Site): Promise<string> {
   const address = site.entries[0].daemon.process.callers;
   const response = await fetch(`http://${address}/v1/completions`, {
     method: "POST",
@@ -55,7 +55,7 @@
     assert.match(stdout, /1101 .*path=balance\.skewWeight, found=3, expected=/);
   });
 
-  it("publishes, tells the story of a request and writes a bundle", async () => {
+  it("publishes, shows the timeline of a request and writes a bundle", async () => {
     await using site = await startSmallSite();
     const file = await configurationFile(siteConfiguration("ben-ammar", 1));
 
@@ -64,7 +64,7 @@
     assert.match(published.stdout, /version 0 is in force at 2 processes/);
     await site.settled();
 
-    const request = await ask(site);
+    const request = await completeOnce(site);
     const timeline = await runTool(site, "timeline", "--request", request);
     const names = [...timeline.stdout.matchAll(/ (request|attempt)-\w+ /g)];
     assert.equal(
@@ -93,11 +93,11 @@
   });
 
   /*
-   * Two operators edit the same version and publish at the same time. Each
-   * sees a prompt; only the one whose record the log put first may hear
-   * "in force", the other must be told that somebody was faster.
+   * Two operators publish from the same version at the same time. Only the one
+   * whose record is first in the log may be told that its version is in force;
+   * the other must get error 1102.
    */
-  it("lets exactly one of two racing operators win", async () => {
+  it("accepts exactly one of two concurrent publications", async () => {
     await using site = await startSmallSite();
     const file = await configurationFile(siteConfiguration("ben-ammar", 1));
     site.log.faults.gatherAppends = 2;
@@ -112,10 +112,10 @@
   });
 
   /*
-   * The log takes a publication but its answer is lost on the way back. The
-   * operator must neither be told that it failed nor publish it twice.
+   * The log stores a publication but the answer to the append is lost. The tool
+   * must neither report a failure nor have the publication accepted twice.
    */
-  it("learns by reading that an append landed whose answer was lost", async () => {
+  it("finds an append whose answer was lost by reading the log", async () => {
     await using site = await startSmallSite();
     const file = await configurationFile(siteConfiguration("ben-ammar", 1));
     site.log.faults.loseAppendAnswers = 1;
@@ -130,7 +130,7 @@
     );
   });
 
-  it("shows what is in force and drains a process", async () => {
+  it("shows the configuration in force and drains a process", async () => {
     await using site = await startSmallSite();
     const configuration = siteConfiguration("ben-ammar", 1);
     await site.publish(configuration);
@@ -157,10 +157,10 @@
   });
 
   /*
-   * The platform's list of VMs is down. The operator has to hear that at once,
-   * with what to do, in place of an empty table that looks like an empty site.
+   * The platform's list of VMs is unavailable. The tool must report that as an
+   * error, not print an empty table that looks like a site without processes.
    */
-  it("says so when the platform can't be reached", async () => {
+  it("reports that the platform can't be reached", async () => {
     const nowhere = "http://127.0.0.1:9";
     const { code, stderr } = await runTool(
       undefined,
--- a/tests/configuration/check.test.ts
+++ b/tests/configuration/check.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe("checking a configuration", () => {
-  it("takes a valid one and fills in the defaults", () => {
+  it("accepts a valid one and fills in the defaults", () => {
     const checked = checkConfiguration(exampleConfiguration).unsafeCoerce();
     assert.is(checked.balance.skewWeight, 0.5);
   });
@@ -24,31 +24,31 @@
     assert.match(String(detail.expected), "9");
   });
 
-  it("names a field that it does not know", () => {
+  it("names an unknown field", () => {
     const detail = problemOf({ profilez: [] });
     assert.is(detail.path, "profilez");
   });
 
-  describe("rules between its parts", () => {
-    it("wants a group for every target", () => {
+  describe("references between its parts", () => {
+    it("requires a group for every target", () => {
       const detail = problemOf({ groups: [] });
       assert.is(detail.path, "profiles.0.target.model");
       assert.is(detail.expected, "served by one of the groups");
     });
 
-    it("wants every name once", () => {
+    it("requires unique names", () => {
       const [profile] = exampleConfiguration.profiles;
       const detail = problemOf({ profiles: [profile, profile] });
       assert.is(detail.path, "profiles.1.name");
     });
 
-    it("wants a default profile that is open to the account", () => {
+    it("requires a default profile that is open to the account", () => {
       const [profile] = exampleConfiguration.profiles;
       const detail = problemOf({ profiles: [{ ...profile, accounts: [] }] });
       assert.is(detail.path, "accounts.0.defaultProfile");
     });
 
-    it("wants every credential in one account only", () => {
+    it("requires every credential to belong to one account", () => {
       const [account] = exampleConfiguration.accounts;
       const detail = problemOf({
         accounts: [account, { ...account, name: "second" }],
@@ -56,7 +56,7 @@
       assert.is(detail.path, "accounts.1.credentialHashes.0");
     });
 
-    it("wants a slot for every expert", () => {
+    it("requires a slot for every expert", () => {
       const [group] = exampleConfiguration.groups;
       const detail = problemOf({ groups: [{ ...group, experts: 1000 }] });
       assert.is(detail.path, "groups.0.slotsPerRank");
--- a/tests/configuration/follower-site.ts
+++ b/tests/configuration/follower-site.ts
@@ -1,4 +1,6 @@
-/** Followers of the configuration over real sockets, in one process. */
+/**
+ * Configuration followers in one process that communicate over real sockets.
+ */
 import { Server } from "@grpc/grpc-js";
 import {
   encodeEnvelope,
@@ -17,8 +19,8 @@
 import { startLog, type LogStandIn } from "../../standins/log.js";
 import { startVmList, type VmListStandIn } from "../../standins/vm-list.js";
 
-const POLL_MS = 5;
-const LONGEST_WAIT_MS = 8_000;
+const POLL_INTERVAL_MS = 5;
+const MAX_WAIT_MS = 8_000;
 
 export interface RunningFollower extends AsyncDisposable {
   readonly name: string;
@@ -35,7 +37,7 @@
     name: string,
     dataCentre?: string,
   ) => Promise<RunningFollower>;
-  /** Puts the running followers on the platform's list. */
+  /** Publishes the running followers on the platform's list of VMs. */
   readonly list: () => void;
 }
 
@@ -45,7 +47,7 @@
   const client = LogClient.create(log.address);
   const running: RunningFollower[] = [];
   const list = (): void => {
-    vmList.change(running.map(vmOf));
+    vmList.change(running.map(toVm));
   };
   return {
     log,
@@ -61,24 +63,26 @@
     },
     async [Symbol.asyncDispose]() {
       await Promise.all(running.map((item) => item[Symbol.asyncDispose]()));
-      await Promise.all([log, vmList].map((x) => x[Symbol.asyncDispose]()));
+      await Promise.all(
+        [log, vmList].map((item) => item[Symbol.asyncDispose]()),
+      );
     },
   };
 }
 
-/** Fails the test when the condition doesn't come true. */
+/** Polls the condition and throws after `MAX_WAIT_MS`. */
 export async function until(
   what: string,
   condition: () => boolean,
 ): Promise<void> {
-  const deadline = Date.now() + LONGEST_WAIT_MS;
+  const deadline = Date.now() + MAX_WAIT_MS;
   while (!condition()) {
     if (Date.now() > deadline) throw new Error(`timed out: ${what}`);
-    await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-function vmOf({ name, address, dataCentre }: RunningFollower): Vm {
+function toVm({ name, address, dataCentre }: RunningFollower): Vm {
   const operators = "";
   return { name, role: "entry", address, operators, dataCentre, state: "live" };
 }
--- a/tests/configuration/support.ts
+++ b/tests/configuration/support.ts
@@ -1,4 +1,4 @@
-/** A valid configuration and records of the configuration stream for tests. */
+/** Builds a valid configuration and records of the configuration stream. */
 import {
   encodeEnvelope,
   type Checkpoint,
