--- a/fuzz/main.ts
+++ b/fuzz/main.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run fuzz -- [--target T] [--seed N] [--runs N | --seconds N]
- * [--mutation M]`: the last line is one JSON object for each target.
+ * Command line of the fuzz targets: `npm run fuzz -- [--target T] [--seed N]
+ * [--runs N | --seconds N] [--mutation M]`. The last line of each target is one
+ * JSON object.
  */
 import { parseArgs } from "node:util";
 import { targets } from "./targets.js";
@@ -32,8 +33,8 @@
 const seed = Number(values.seed);
 const stopAfterMs =
   values.seconds === undefined ? undefined : Number(values.seconds) * 1000;
-const unlimited = stopAfterMs === undefined ? DEFAULT_RUNS : 1_000_000_000;
-const runs = values.runs === undefined ? unlimited : Number(values.runs);
+const defaultRuns = stopAfterMs === undefined ? DEFAULT_RUNS : 1_000_000_000;
+const runs = values.runs === undefined ? defaultRuns : Number(values.runs);
 
 function report(name: string, result: FuzzResult): void {
   if (result.violations > 0) {
@@ -51,23 +52,26 @@
   );
 }
 
-const chosen =
+const selectedNames =
   values.target === undefined ? Object.keys(targets) : [values.target];
-for (const name of chosen) {
+for (const name of selectedNames) {
   const load = targets[name];
   if (load === undefined) {
     console.error(
-      `no target ${name}; targets: ${Object.keys(targets).join(", ")}`,
+      `unknown target ${name}; targets: ${Object.keys(targets).join(", ")}`,
     );
     process.exitCode = EXIT_USAGE;
     break;
   }
   const target = await load();
   const { mutation } = values;
-  // A mistyped safeguard would run clean and seem to be caught by nothing.
+  // A mistyped mutation would disable nothing, and the run would look as if the
+  // oracle missed it.
   if (mutation !== undefined && !Object.hasOwn(target.mutations, mutation)) {
-    const known = Object.keys(target.mutations).join(", ");
-    console.error(`no mutation ${mutation} of ${name}; mutations: ${known}`);
+    const knownMutations = Object.keys(target.mutations).join(", ");
+    console.error(
+      `unknown mutation ${mutation} of ${name}; mutations: ${knownMutations}`,
+    );
     process.exitCode = EXIT_USAGE;
     break;
   }
--- a/fuzz/records.ts
+++ b/fuzz/records.ts
@@ -1,26 +1,29 @@
 /**
- * Target `records`: whatever is written into the store's topics or answered in
- * their place, nothing gets past a reader but what it is meant to give, and
- * good records come out unharmed beside bad ones.
+ * Fuzz target `records`: records and responses of other programs, malformed
+ * ones included.
+ *
+ * Oracle: readers return exactly the valid records, throw only errors of the
+ * project's own error table, and lose no valid record because of a malformed
+ * one.
  */
 import fc from "fast-check";
-import { answerStep, judgeAnswer, type AnswerStep } from "./records/answers.js";
+import { answerStep, checkAnswer, type AnswerStep } from "./records/answers.js";
 import {
   configurationKeys,
   configurationShape,
-  judgeConfigurations,
+  checkConfigurations,
 } from "./records/configurations.js";
-import { judgePaceNotes, paceKeys, paceShape } from "./records/pace-notes.js";
+import { checkPaceNotes, paceKeys, paceShape } from "./records/pace-notes.js";
 import {
-  judgeRegister,
+  checkRegister,
   registerKeys,
   registerShape,
 } from "./records/register.js";
-import { stepOf, type Step } from "./records/steps.js";
+import { createStepArbitrary, type Step } from "./records/steps.js";
 import { runHistories } from "./run-property.js";
 import type { FuzzTarget } from "./target.js";
 
-const MOST_STEPS = 24;
+const MAXIMUM_STEPS = 24;
 
 type TopicName = "register" | "configuration" | "pace";
 
@@ -33,34 +36,34 @@
     weight: 4,
     arbitrary: fc.record({
       about: fc.constant("register" as const),
-      step: stepOf(registerShape, registerKeys.length),
+      step: createStepArbitrary(registerShape, registerKeys.length),
     }),
   },
   {
     weight: 2,
     arbitrary: fc.record({
       about: fc.constant("configuration" as const),
-      step: stepOf(configurationShape, configurationKeys.length),
+      step: createStepArbitrary(configurationShape, configurationKeys.length),
     }),
   },
   fc.record({
     about: fc.constant("pace" as const),
-    step: stepOf(paceShape, paceKeys.length),
+    step: createStepArbitrary(paceShape, paceKeys.length),
   }),
   fc.record({ about: fc.constant("answer" as const), step: answerStep }),
 );
 
-/** Plays the commands; returns what the oracles found. */
-export function judgeRecords(commands: readonly Command[]): readonly string[] {
-  const about = (name: TopicName): Step[] =>
+/** Runs the commands and returns the violations. */
+export function checkRecords(commands: readonly Command[]): readonly string[] {
+  const stepsFor = (name: TopicName): Step[] =>
     commands.flatMap((one) => (one.about === name ? [one.step] : []));
   const answers = commands.flatMap((one) =>
-    one.about === "answer" ? judgeAnswer(one.step) : [],
+    one.about === "answer" ? checkAnswer(one.step) : [],
   );
   return [
-    ...judgeRegister(about("register")),
-    ...judgeConfigurations(about("configuration")),
-    ...judgePaceNotes(about("pace")),
+    ...checkRegister(stepsFor("register")),
+    ...checkConfigurations(stepsFor("configuration")),
+    ...checkPaceNotes(stepsFor("pace")),
     ...answers,
   ];
 }
@@ -71,9 +74,9 @@
   run: (settings) => {
     const history = fc.array(command, {
       minLength: 1,
-      maxLength: MOST_STEPS,
+      maxLength: MAXIMUM_STEPS,
       size: "max",
     });
-    return Promise.resolve(runHistories(settings, history, judgeRecords));
+    return Promise.resolve(runHistories(settings, history, checkRecords));
   },
 };
--- a/fuzz/records/answers.ts
+++ b/fuzz/records/answers.ts
@@ -1,4 +1,4 @@
-/** Answers of other programs, each read by a decoder of its own. */
+/** Responses of other programs, each read by its own decoder. */
 import fc from "fast-check";
 import { headerCodec } from "../../platform/headers.js";
 import { headerNames } from "../../platform/names.js";
@@ -12,49 +12,57 @@
   decodeChangesPage,
   decodeNewestPage,
 } from "../../platform/store-pages.js";
-import { objectOf, untyped } from "./oracle.js";
+import { parseJson, findUntypedErrors } from "./oracle.js";
 
 export interface AnswerStep {
   readonly kind: "answer";
   readonly status: number;
   readonly value: unknown;
-  /** What comes in place of the value's JSON. */
+  /** Body bytes that replace the JSON of `value`. */
   readonly bytes: readonly number[] | undefined;
   readonly headers: Readonly<Record<string, string>>;
 }
 
 const SEAT_ROW = ["seats", 0, 0];
 
-const number = fc.oneof(fc.nat({ max: 5 }), fc.constantFrom("1", null, -1));
+const numericValue = fc.oneof(
+  fc.nat({ max: 5 }),
+  fc.constantFrom("1", null, -1),
+);
 const rows = fc.array(
   fc.oneof(
     fc.constant(SEAT_ROW),
-    fc.tuple(fc.constantFrom("seats", "x"), number, number),
+    fc.tuple(fc.constantFrom("seats", "x"), numericValue, numericValue),
     fc.jsonValue({ maxDepth: 1 }),
   ),
   { maxLength: 4 },
 );
 const group = fc.record(
-  { name: fc.constantFrom("g", 1), epoch: number, rank: number, state: number },
+  {
+    name: fc.constantFrom("g", 1),
+    epoch: numericValue,
+    rank: numericValue,
+    state: numericValue,
+  },
   { requiredKeys: [] },
 );
 
-/** Fields of every answer, good and odd ones. */
+/** Fields of all kinds of responses, with valid and invalid values. */
 const answerValue = fc.record(
   {
-    generation: number,
+    generation: numericValue,
     parts: rows,
     group,
-    size: number,
-    step: number,
-    mapping: fc.oneof(number, fc.constant({ experts: [[1]] })),
-    held: number,
-    pace: number,
-    epoch: number,
-    counts: fc.array(number, { maxLength: 3 }),
+    size: numericValue,
+    step: numericValue,
+    mapping: fc.oneof(numericValue, fc.constant({ experts: [[1]] })),
+    held: numericValue,
+    pace: numericValue,
+    epoch: numericValue,
+    counts: fc.array(numericValue, { maxLength: 3 }),
     entries: fc.array(fc.jsonValue({ maxDepth: 1 }), { maxLength: 3 }),
     has_more: fc.constantFrom(true, false, "no"),
-    end_offset: number,
+    end_offset: numericValue,
   },
   { requiredKeys: [] },
 );
@@ -74,47 +82,49 @@
   ),
 });
 
-export function judgeAnswer(answer: AnswerStep): readonly string[] {
+export function checkAnswer(answer: AnswerStep): readonly string[] {
   const { status, value, bytes, headers } = answer;
   const body = Buffer.from(bytes ?? JSON.stringify(value));
   const report = { status, value };
   return [
-    ...untyped(() => decodeReport(report)),
-    ...untyped(() => decodeCounts(report)),
-    ...untyped(() => decodeExperts(report)),
-    ...untyped(() => decodeChangesPage(body)),
-    ...untyped(() => decodeNewestPage(body)),
-    ...untyped(() => headerCodec.readAnswer(status, headers)),
-    ...judgeSeat(body),
-    ...judgeCall(headers),
+    ...findUntypedErrors(() => decodeReport(report)),
+    ...findUntypedErrors(() => decodeCounts(report)),
+    ...findUntypedErrors(() => decodeExperts(report)),
+    ...findUntypedErrors(() => decodeChangesPage(body)),
+    ...findUntypedErrors(() => decodeNewestPage(body)),
+    ...findUntypedErrors(() => headerCodec.readAnswer(status, headers)),
+    ...checkSeat(body),
+    ...checkRequestHeaders(headers),
   ];
 }
 
-/** Only the row that names the seat gives it. */
-function judgeSeat(body: Buffer): readonly string[] {
-  const found: string[] = [];
-  const parts = objectOf(body)?.parts;
-  const listed: readonly unknown[] = Array.isArray(parts) ? parts : [];
-  const isNamed = listed.some(
+/** A seat is held only if the row that names it is present. */
+function checkSeat(body: Buffer): readonly string[] {
+  const mismatches: string[] = [];
+  const parts = parseJson(body)?.parts;
+  const seatRows: readonly unknown[] = Array.isArray(parts) ? parts : [];
+  const hasSeatRow = seatRows.some(
     (row) => Array.isArray(row) && row[0] === "seats" && row[1] === 0,
   );
-  const violations = untyped(() => {
+  const untypedErrors = findUntypedErrors(() => {
     const { isHolder } = decodeSeat(body);
-    if (isHolder !== isNamed) found.push("a seat that its row doesn't give");
+    if (isHolder !== hasSeatRow)
+      mismatches.push("a seat that doesn't match its row");
   });
-  return [...violations, ...found];
+  return [...untypedErrors, ...mismatches];
 }
 
-/** A caller's numbers are numbers, whatever it sends. */
-function judgeCall(
+/** Numeric request headers never decode to NaN. */
+function checkRequestHeaders(
   headers: Readonly<Record<string, string>>,
 ): readonly string[] {
-  const found: string[] = [];
-  const violations = untyped(() => {
+  const mismatches: string[] = [];
+  const untypedErrors = findUntypedErrors(() => {
     const call = headerCodec.readCall(headers);
     const { promptTokens, outputTokens, lastEventId, deadlineMs = 0 } = call;
     const numbers = [promptTokens, outputTokens, lastEventId, deadlineMs];
-    if (numbers.some(Number.isNaN)) found.push("a header that is no number");
+    if (numbers.some(Number.isNaN))
+      mismatches.push("a numeric header decoded to NaN");
   });
-  return [...violations, ...found];
+  return [...untypedErrors, ...mismatches];
 }
--- a/fuzz/records/configurations.ts
+++ b/fuzz/records/configurations.ts
@@ -1,10 +1,12 @@
-/** Configurations: of each page the newest one that can be read. */
+/**
+ * Configuration records: every page yields its newest readable configuration.
+ */
 import fc from "fast-check";
 import { decodeConfiguration } from "../../platform/configuration.js";
 import { decodeChangesPage } from "../../platform/store-pages.js";
 import { newestConfiguration } from "../../src/routing/newest-configuration.js";
 import type { RecordShape, Step } from "./steps.js";
-import { WrittenTopic, type Written } from "./topic.js";
+import { TopicModel, type WrittenRecord } from "./topic.js";
 
 const KEY = "config";
 
@@ -28,20 +30,20 @@
 
 export const configurationShape: RecordShape = {
   version: {
-    good: fc.nat({ max: 9 }),
-    odd: fc.constantFrom<unknown>("1", null, {}),
+    valid: fc.nat({ max: 9 }),
+    invalid: fc.constantFrom<unknown>("1", null, {}),
   },
   routes: {
-    good: fc.constantFrom([], [route]),
-    odd: fc.constantFrom<unknown>({}, [null], [{ ...route, hostname: 1 }]),
+    valid: fc.constantFrom([], [route]),
+    invalid: fc.constantFrom<unknown>({}, [null], [{ ...route, hostname: 1 }]),
   },
   services: {
-    good: fc.constantFrom([], [{ name: "a" }]),
-    odd: fc.constantFrom<unknown>(null, [{}], [{ name: "a", engine: 1 }]),
+    valid: fc.constantFrom([], [{ name: "a" }]),
+    invalid: fc.constantFrom<unknown>(null, [{}], [{ name: "a", engine: 1 }]),
   },
   limits: {
-    good: fc.constant(limits),
-    odd: fc.constantFrom<unknown>(
+    valid: fc.constant(limits),
+    invalid: fc.constantFrom<unknown>(
       [],
       { ...limits, idle_timeout_ms: "1" },
       { ...limits, idle_timeout_ms: -1 },
@@ -49,8 +51,8 @@
   },
 };
 
-export function judgeConfigurations(steps: readonly Step[]): readonly string[] {
-  const topic = WrittenTopic.create(configurationKeys);
+export function checkConfigurations(steps: readonly Step[]): readonly string[] {
+  const topic = TopicModel.create(configurationKeys);
   const violations: string[] = [];
   let offset = 0;
   const read = (extraBytes: number): void => {
@@ -62,10 +64,10 @@
       decode: decodeConfiguration,
       onUnreadable: () => undefined,
     });
-    const expected = versionOf(written);
+    const expected = expectedVersion(written);
     if (found?.version === expected) return;
     violations.push(
-      `configuration: ${String(found?.version)}, not ${String(expected)}`,
+      `configuration: version ${String(found?.version)}, expected ${String(expected)}`,
     );
   };
   for (const step of steps) {
@@ -76,22 +78,27 @@
   return violations;
 }
 
-/** Version of the newest one that can be read. */
-function versionOf(written: readonly Written[]): number | undefined {
+/** Version of the newest record that is readable. */
+function expectedVersion(
+  written: readonly WrittenRecord[],
+): number | undefined {
   for (const record of [...written].reverse()) {
     const { key, value } = record;
     if (key !== KEY || value === undefined) continue;
-    const version = isBad(record) ? undefined : readVersion(value);
+    const version = isInvalid(record) ? undefined : readVersion(value);
     if (version !== undefined) return version;
   }
   return undefined;
 }
 
-function isBad({ step }: Written): boolean {
+function isInvalid({ step }: WrittenRecord): boolean {
   return step.kind === "mutated" || step.kind === "bytes";
 }
 
-/** Where no more is known, the decoder itself may say; only not by throwing. */
+/**
+ * For records whose validity the model doesn't know, the decoder decides; one
+ * for which it throws counts as unreadable.
+ */
 function readVersion(value: Buffer): number | undefined {
   try {
     return decodeConfiguration(value).version;
--- a/fuzz/records/oracle.ts
+++ b/fuzz/records/oracle.ts
@@ -1,11 +1,14 @@
-/** What a record means, told plainly and without the decoders under test. */
+/** Expected results for records, computed without the decoders under test. */
 import { ApricotdeckError } from "../../src/internal.js";
 
-/** "open": neither plainly good nor plainly bad; the reader may say either. */
-export type Verdict = "good" | "bad" | "open";
+/**
+ * "open": neither clearly valid nor clearly invalid; the reader may accept or
+ * reject it.
+ */
+export type Validity = "valid" | "invalid" | "open";
 
-export const goodAddresses = ["10.0.0.1:80", "host-a:1", "[::1]:65535"];
-export const badAddresses = [
+export const validAddresses = ["10.0.0.1:80", "host-a:1", "[::1]:65535"];
+export const invalidAddresses = [
   "",
   "host",
   "host:0",
@@ -18,8 +21,10 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** The object that the bytes are JSON of, if they are. */
-export function objectOf(value: Buffer): Fields | undefined {
+/**
+ * Parses bytes as the UTF-8 JSON text of an object; undefined when they aren't.
+ */
+export function parseJson(value: Buffer): Fields | undefined {
   const text = value.toString();
   if (!Buffer.from(text).equals(value)) return undefined;
   try {
@@ -32,19 +37,22 @@
   }
 }
 
-export function addressVerdict(address: unknown): Verdict {
-  if (typeof address !== "string") return "bad";
-  if (goodAddresses.includes(address)) return "good";
-  return badAddresses.includes(address) ? "bad" : "open";
+export function classifyAddress(address: unknown): Validity {
+  if (typeof address !== "string") return "invalid";
+  if (validAddresses.includes(address)) return "valid";
+  return invalidAddresses.includes(address) ? "invalid" : "open";
 }
 
-/** What a reader threw that isn't a failure of the product's own table. */
-export function untyped(read: () => unknown): readonly string[] {
+/**
+ * Returns a violation when `read` throws anything but an error of the project's
+ * own error table.
+ */
+export function findUntypedErrors(read: () => unknown): readonly string[] {
   try {
     read();
     return [];
   } catch (error) {
     if (error instanceof ApricotdeckError) return [];
-    return [`untyped failure: ${String(error)}`];
+    return [`untyped error: ${String(error)}`];
   }
 }
--- a/fuzz/records/pace-notes.ts
+++ b/fuzz/records/pace-notes.ts
@@ -1,24 +1,26 @@
-/** Pace notes: every good one comes out, in its place, and nothing else. */
+/**
+ * Pace notes: the reader returns all valid notes in order, and nothing else.
+ */
 import fc from "fast-check";
 import { decodeChangesPage } from "../../platform/store-pages.js";
 import { ignoreEvents, ignoreMeasurements } from "../../src/internal.js";
 import { readPaceNotes } from "../../src/membership/slow-runners.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
-import { addressVerdict, goodAddresses, objectOf } from "./oracle.js";
+import { classifyAddress, validAddresses, parseJson } from "./oracle.js";
 import type { RecordShape, Step } from "./steps.js";
-import { WrittenTopic, type Written } from "./topic.js";
+import { TopicModel, type WrittenRecord } from "./topic.js";
 
-export const paceKeys = [...goodAddresses, "", "host:0"];
+export const paceKeys = [...validAddresses, "", "host:0"];
 
 export const paceShape: RecordShape = {
   slowness: {
-    good: fc.double({ min: 0.5, max: 9, noNaN: true }),
-    odd: fc.constantFrom<unknown>("6", null, 0, -1, [2]),
+    valid: fc.double({ min: 0.5, max: 9, noNaN: true }),
+    invalid: fc.constantFrom<unknown>("6", null, 0, -1, [2]),
   },
 };
 
-export function judgePaceNotes(steps: readonly Step[]): readonly string[] {
-  const topic = WrittenTopic.create(paceKeys);
+export function checkPaceNotes(steps: readonly Step[]): readonly string[] {
+  const topic = TopicModel.create(paceKeys);
   for (const step of steps) if (step.kind !== "page") topic.write(step);
   const findings = RecordFindings.create({
     emit: ignoreEvents,
@@ -26,15 +28,17 @@
   });
   const { records } = decodeChangesPage(topic.page(0, 0));
   const found = readPaceNotes(records, findings);
-  const expected = topic.history.flatMap(noteOf);
+  const expected = topic.history.flatMap(expectedNotes);
   const isSame = JSON.stringify(found) === JSON.stringify(expected);
   if (isSame) return [];
-  return [`pace: ${JSON.stringify(found)}, not ${JSON.stringify(expected)}`];
+  return [
+    `pace: ${JSON.stringify(found)}, expected ${JSON.stringify(expected)}`,
+  ];
 }
 
-function noteOf({ key, value }: Written): readonly unknown[] {
-  if (addressVerdict(key) !== "good" || value === undefined) return [];
-  const slowness = objectOf(value)?.slowness;
+function expectedNotes({ key, value }: WrittenRecord): readonly unknown[] {
+  if (classifyAddress(key) !== "valid" || value === undefined) return [];
+  const slowness = parseJson(value)?.slowness;
   const isSlowness = typeof slowness === "number" && Number.isFinite(slowness);
   return isSlowness && slowness > 0 ? [{ address: key, slowness }] : [];
 }
--- a/fuzz/records/register.ts
+++ b/fuzz/records/register.ts
@@ -1,4 +1,7 @@
-/** The register: pages, reader and directory against a plain reading. */
+/**
+ * Register records: compares page decoder, reader and directory with a simple
+ * model.
+ */
 import fc from "fast-check";
 import { decodeRegistration } from "../../platform/register.js";
 import {
@@ -11,55 +14,58 @@
 import type { RegisterChange } from "../../src/membership/types.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
 import {
-  addressVerdict,
-  badAddresses,
-  goodAddresses,
-  objectOf,
-  type Verdict,
+  classifyAddress,
+  invalidAddresses,
+  validAddresses,
+  parseJson,
+  type Validity,
 } from "./oracle.js";
 import type { RecordShape, Step } from "./steps.js";
-import { WrittenTopic, type Written } from "./topic.js";
+import { TopicModel, type WrittenRecord } from "./topic.js";
 
-const GOOD_ID = "i-";
-const LONGEST_KEY = 255;
+const VALID_ID_PREFIX = "i-";
+const MAXIMUM_KEY_BYTES = 255;
 
 export const registerKeys = [
-  `${GOOD_ID}0`,
-  `${GOOD_ID}1`,
-  `${GOOD_ID}2`,
+  `${VALID_ID_PREFIX}0`,
+  `${VALID_ID_PREFIX}1`,
+  `${VALID_ID_PREFIX}2`,
   "",
   "r 1",
-  "k".repeat(LONGEST_KEY),
+  "k".repeat(MAXIMUM_KEY_BYTES),
 ];
 
-const text = { good: fc.constantFrom("a", "b"), odd: fc.constantFrom(7, null) };
-const count = (least: number, odd: readonly unknown[]) => ({
-  good: fc.integer({ min: least, max: 9 }),
-  odd: fc.constantFrom("8", null, true, 1.5, ...odd),
+const textField = {
+  valid: fc.constantFrom("a", "b"),
+  invalid: fc.constantFrom(7, null),
+};
+const integerField = (minimum: number, invalid: readonly unknown[]) => ({
+  valid: fc.integer({ min: minimum, max: 9 }),
+  invalid: fc.constantFrom("8", null, true, 1.5, ...invalid),
 });
 
 export const registerShape: RecordShape = {
-  backend: text,
+  backend: textField,
   address: {
-    good: fc.constantFrom(...goodAddresses),
-    odd: fc.constantFrom<unknown>(...badAddresses, 80, null),
+    valid: fc.constantFrom(...validAddresses),
+    invalid: fc.constantFrom<unknown>(...invalidAddresses, 80, null),
   },
-  zone: text,
-  version: text,
-  slots: count(1, [0, -3]),
+  zone: textField,
+  version: textField,
+  slots: integerField(1, [0, -3]),
   state: {
-    good: fc.constantFrom("ready", "ready", "draining"),
-    odd: fc.constantFrom<unknown>("resting", "", "READY", 1, null),
+    valid: fc.constantFrom("ready", "ready", "draining"),
+    invalid: fc.constantFrom<unknown>("resting", "", "READY", 1, null),
   },
   cold_left_ms: {
-    good: fc.double({ min: 0, max: 9, noNaN: true }),
-    odd: fc.constantFrom<unknown>("0", null, []),
+    valid: fc.double({ min: 0, max: 9, noNaN: true }),
+    invalid: fc.constantFrom<unknown>("0", null, []),
   },
-  sequence: count(0, []),
+  sequence: integerField(0, []),
 };
 
-/** Bytes that are a newest record to nobody. */
-const oddEntries: readonly unknown[] = [
+/** Entries that aren't valid newest records. */
+const malformedEntries: readonly unknown[] = [
   null,
   17,
   [],
@@ -68,20 +74,20 @@
   { data: "aGE=", offset: 2 },
 ];
 
-export function judgeRegister(steps: readonly Step[]): readonly string[] {
-  const world = RegisterWorld.create();
+export function checkRegister(steps: readonly Step[]): readonly string[] {
+  const checker = RegisterChecker.create();
   for (const step of steps) {
-    if (step.kind === "page") world.read(step.extraBytes);
-    else world.topic.write(step);
+    if (step.kind === "page") checker.read(step.extraBytes);
+    else checker.topic.write(step);
   }
-  world.read(0);
-  world.readNewest();
-  return world.violations;
+  checker.read(0);
+  checker.readNewest();
+  return checker.violations;
 }
 
-class RegisterWorld {
+class RegisterChecker {
   readonly violations: string[] = [];
-  readonly topic = WrittenTopic.create(registerKeys);
+  readonly topic = TopicModel.create(registerKeys);
   private readonly known = new Set<string>();
   private offset = 0;
   private readonly reader = RegisterReader.create({
@@ -102,18 +108,21 @@
   });
 
   private constructor() {
-    // Made by create.
+    // Instances are created by `create`.
   }
 
-  static create(): RegisterWorld {
-    return new RegisterWorld();
+  static create(): RegisterChecker {
+    return new RegisterChecker();
   }
 
   read(extraBytes: number): void {
     const written = this.topic.history.slice(this.offset);
     const page = decodeChangesPage(this.topic.page(this.offset, extraBytes));
     this.offset += page.length;
-    this.check(page.length === written.length, "records lost on the page");
+    this.check(
+      page.length === written.length,
+      "the page contains every record",
+    );
     const changes = this.reader.read(page.records);
     this.compare(written, changes);
     this.directory.apply(changes);
@@ -121,51 +130,63 @@
   }
 
   readNewest(): void {
-    const page = decodeNewestPage(this.topic.newest(oddEntries));
-    this.check(page.unreadable.length === oddEntries.length, "odd entries");
+    const page = decodeNewestPage(this.topic.newest(malformedEntries));
+    this.check(
+      page.unreadable.length === malformedEntries.length,
+      "malformed newest entries are reported",
+    );
     const changes = this.reader.read(page.records);
     for (const change of changes) {
-      const written = this.newestOf(change.id);
+      const written = this.newestRecord(change.id);
       if (written !== undefined) this.compare([written], [change]);
     }
     const ids = new Set(changes.map(({ id }) => id));
     for (const key of registerKeys) {
-      const isThere = this.newestOf(key)?.value !== undefined;
-      this.check(ids.has(key) === isThere, `${key} among the newest`);
+      const isPresent = this.newestRecord(key)?.value !== undefined;
+      this.check(
+        ids.has(key) === isPresent,
+        `${key} is among the newest records only if present`,
+      );
     }
   }
 
   private compare(
-    written: readonly Written[],
+    written: readonly WrittenRecord[],
     changes: readonly RegisterChange[],
   ): void {
     const keyed = written.filter(({ key }) => key !== undefined);
-    this.check(keyed.length === changes.length, "a change for each record");
-    keyed.forEach((record, at) => {
-      this.compareOne(record, changes[at]);
+    this.check(
+      keyed.length === changes.length,
+      "there is a change for each record",
+    );
+    keyed.forEach((record, index) => {
+      this.compareRecord(record, changes[index]);
     });
   }
 
-  private compareOne(written: Written, change: RegisterChange): void {
+  private compareRecord(written: WrittenRecord, change: RegisterChange): void {
     const { key, value } = written;
     const name = JSON.stringify(key);
-    this.check(change.id === key, `${name} has its id`);
+    this.check(change.id === key, `${name} keeps its id`);
     if (value === undefined) {
       const isRemoval = change.server === undefined && !change.isUnusable;
       this.check(isRemoval, `${name} is removed`);
       return;
     }
-    const verdict = verdictOf(written);
+    const validity = classifyRecord(written);
     const isUsable = change.server !== undefined;
-    if (verdict !== "open") {
-      this.check(isUsable === (verdict === "good"), `${name} is ${verdict}`);
+    if (validity !== "open") {
+      this.check(isUsable === (validity === "valid"), `${name} is ${validity}`);
     }
-    this.check(isUsable !== (change.isUnusable ?? false), `${name} has an end`);
+    this.check(
+      isUsable !== (change.isUnusable ?? false),
+      `${name} is either usable or marked unusable`,
+    );
     if (isUsable) this.compareFields(value, change);
   }
 
   private compareFields(value: Buffer, { id, server }: RegisterChange): void {
-    const fields = objectOf(value);
+    const fields = parseJson(value);
     const expected = [
       id,
       fields?.backend,
@@ -184,59 +205,66 @@
       server?.isLeaving,
       server?.heartbeat,
     ];
-    const isWhole = JSON.stringify(expected) === JSON.stringify(found);
-    this.check(isWhole, `${id} is unharmed`);
+    const isValid = JSON.stringify(expected) === JSON.stringify(found);
+    this.check(isValid, `${id} keeps its fields`);
   }
 
-  /** One that is bad or gone is never known; a good one is, unless it left. */
+  /**
+   * An invalid newest record makes its runner unknown. A valid one makes it
+   * known unless an earlier record was draining or had a higher heartbeat.
+   */
   private checkDirectory(): void {
     for (const key of registerKeys) {
-      const newest = this.newestOf(key);
+      const newest = this.newestRecord(key);
       if (newest === undefined) continue;
-      const verdict = verdictOf(newest);
-      if (verdict === "bad") {
+      const validity = classifyRecord(newest);
+      if (validity === "invalid") {
         this.check(!this.known.has(key), `${key} isn't used`);
       }
-      if (verdict === "good" && this.isUndisputed(key)) {
+      if (validity === "valid" && this.mustBeKnown(key)) {
         this.check(this.known.has(key), `${key} is used`);
       }
     }
   }
 
-  private newestOf(key: string): Written | undefined {
+  private newestRecord(key: string): WrittenRecord | undefined {
     return this.topic.history.findLast((record) => record.key === key);
   }
 
-  /** Never said to leave, never with a higher heartbeat. */
-  private isUndisputed(key: string): boolean {
-    const said = this.topic.history
+  /**
+   * True when no record of the key was draining or had a higher heartbeat than
+   * the last one.
+   */
+  private mustBeKnown(key: string): boolean {
+    const registrations = this.topic.history
       .filter((record) => record.key === key)
-      .map(({ value }) => (value === undefined ? undefined : objectOf(value)));
-    const last = Number(said.at(-1)?.sequence);
-    return said.every(
+      .map(({ value }) => (value === undefined ? undefined : parseJson(value)));
+    const last = Number(registrations.at(-1)?.sequence);
+    return registrations.every(
       (fields) =>
         fields === undefined ||
         (fields.state !== "draining" && !(Number(fields.sequence) > last)),
     );
   }
 
-  private check(holds: boolean, what: string): void {
-    if (!holds) this.violations.push(`register: ${what}`);
+  private check(isMet: boolean, rule: string): void {
+    if (!isMet) this.violations.push(`register: violated: ${rule}`);
   }
 }
 
-function verdictOf({ key, value }: Written): Verdict {
-  if (value === undefined) return "bad";
-  const entry = objectOf(value);
-  if (entry === undefined || !key?.startsWith(GOOD_ID)) return "bad";
+function classifyRecord({ key, value }: WrittenRecord): Validity {
+  if (value === undefined) return "invalid";
+  const entry = parseJson(value);
+  if (entry === undefined || !key?.startsWith(VALID_ID_PREFIX))
+    return "invalid";
   const { backend, zone, version, address, slots, state } = entry;
   const texts = [backend, zone, version];
-  const isWhole =
+  const isValid =
     texts.every((field) => typeof field === "string") &&
     Number.isSafeInteger(slots) &&
     Number(slots) >= 1 &&
     (state === "ready" || state === "draining") &&
     Number.isSafeInteger(entry.sequence) &&
     Number.isFinite(entry.cold_left_ms);
-  return isWhole ? addressVerdict(address) : "bad";
+  return isValid ? classifyAddress(address) : "invalid";
 }
--- a/fuzz/records/steps.ts
+++ b/fuzz/records/steps.ts
@@ -1,18 +1,18 @@
-/** What writers of every kind put into a keyed topic, one record a step. */
+/** Random writes to a keyed topic, one record per step, valid and malformed. */
 import fc from "fast-check";
 
-/** Fields of a record, good ones at first. */
+/** Fields of a record by name. */
 export type Fields = Readonly<Record<string, unknown>>;
 
 export type WriteStep =
-  /** A good record, with fields beside those that are needed. */
+  /** A valid record; `beside` holds additional fields. */
   | {
       readonly kind: "good";
       readonly key: number;
       readonly fields: Fields;
       readonly beside: Fields;
     }
-  /** A good one in which a field is missing or says something else. */
+  /** A valid record in which one field is missing or has another value. */
   | {
       readonly kind: "mutated";
       readonly key: number;
@@ -20,7 +20,10 @@
       readonly field: string;
       readonly value: unknown;
     }
-  /** A good one of which bytes are cut or changed. */
+  /**
+   * A valid record with one byte changed, or truncated when `byte` is
+   * undefined.
+   */
   | {
       readonly kind: "garbled";
       readonly key: number;
@@ -35,18 +38,20 @@
       readonly bytes: readonly number[];
     }
   | { readonly kind: "drop"; readonly key: number }
-  /** Bytes without a key of their own framing. */
+  /** A record of arbitrary bytes, without a key prefix. */
   | { readonly kind: "unframed"; readonly bytes: readonly number[] };
 
 export type Step =
   | WriteStep
-  /** The reader reads so far; the page may hold part of the next record. */
+  /**
+   * The reader reads up to here; the page may end with part of the next record.
+   */
   | { readonly kind: "page"; readonly extraBytes: number };
 
-/** A field's value in a good record, and values that don't fit. */
+/** Values of a field in a valid record, and values that may be invalid. */
 export interface FieldValues {
-  readonly good: fc.Arbitrary<unknown>;
-  readonly odd: fc.Arbitrary<unknown>;
+  readonly valid: fc.Arbitrary<unknown>;
+  readonly invalid: fc.Arbitrary<unknown>;
 }
 
 export type RecordShape = Readonly<Record<string, FieldValues>>;
@@ -54,19 +59,22 @@
 const byte = fc.integer({ min: 0, max: 255 });
 const bytes = fc.array(byte, { maxLength: 24 });
 
-/** A step about records of one shape under one of so many keys. */
-export function stepOf(
+/** Arbitrary of steps for records of one shape under `keyCount` keys. */
+export function createStepArbitrary(
   shape: RecordShape,
   keyCount: number,
 ): fc.Arbitrary<Step> {
   const key = fc.nat({ max: keyCount - 1 });
   const names = Object.keys(shape);
   const fields = fc.record(
-    Object.fromEntries(names.map((name) => [name, shape[name].good])),
+    Object.fromEntries(names.map((name) => [name, shape[name].valid])),
   );
-  const some = fc.record(
+  const partlyValidFields = fc.record(
     Object.fromEntries(
-      names.map((name) => [name, fc.oneof(shape[name].good, shape[name].odd)]),
+      names.map((name) => [
+        name,
+        fc.oneof(shape[name].valid, shape[name].invalid),
+      ]),
     ),
     { requiredKeys: [] },
   );
@@ -76,7 +84,7 @@
       key,
       fields,
       field: fc.constant(field),
-      value: fc.oneof(fc.constant(undefined), shape[field].odd),
+      value: fc.oneof(fc.constant(undefined), shape[field].invalid),
     }),
   );
   return fc.oneof(
@@ -100,7 +108,7 @@
     fc.record({
       kind: fc.constant("json" as const),
       key,
-      value: fc.oneof(fc.jsonValue(), some),
+      value: fc.oneof(fc.jsonValue(), partlyValidFields),
     }),
     fc.record({ kind: fc.constant("bytes" as const), key, bytes }),
     fc.record({ kind: fc.constant("drop" as const), key }),
@@ -115,20 +123,20 @@
   );
 }
 
-/** The value that a step writes; undefined for a key that is dropped. */
+/** Value that a step writes; undefined for a dropped key. */
 export function valueOf(
   step: Exclude<WriteStep, { readonly kind: "unframed" }>,
 ): Buffer | undefined {
   switch (step.kind) {
     case "good":
-      return json({ ...step.beside, ...step.fields });
+      return toJson({ ...step.beside, ...step.fields });
     case "mutated":
-      // A value that is undefined is left out of the text.
-      return json({ ...step.fields, [step.field]: step.value });
+      // JSON.stringify omits a field whose value is undefined.
+      return toJson({ ...step.fields, [step.field]: step.value });
     case "garbled":
-      return garble(json(step.fields), step.at, step.byte);
+      return corrupt(toJson(step.fields), step.at, step.byte);
     case "json":
-      return json(step.value);
+      return toJson(step.value);
     case "bytes":
       return Buffer.from(step.bytes);
     case "drop":
@@ -136,13 +144,13 @@
   }
 }
 
-function garble(value: Buffer, at: number, byte: number | undefined): Buffer {
-  const place = at % value.length;
-  if (byte === undefined) return value.subarray(0, place);
-  value[place] = byte;
+function corrupt(value: Buffer, at: number, byte: number | undefined): Buffer {
+  const index = at % value.length;
+  if (byte === undefined) return value.subarray(0, index);
+  value[index] = byte;
   return value;
 }
 
-function json(value: unknown): Buffer {
+function toJson(value: unknown): Buffer {
   return Buffer.from(JSON.stringify(value));
 }
--- a/fuzz/run-judged.ts
+++ b/fuzz/run-judged.ts
@@ -1,4 +1,7 @@
-/** Runs histories of steps against a judge that lists what went wrong. */
+/**
+ * Runs random histories under fast-check against an oracle that lists
+ * violations.
+ */
 import fc from "fast-check";
 import {
   checkParameters,
@@ -6,7 +9,7 @@
   type FuzzSettings,
 } from "./target.js";
 
-const PROGRESS_EVERY = 5_000;
+const PROGRESS_INTERVAL_HISTORIES = 5_000;
 
 export interface JudgedHistory {
   readonly steps: readonly unknown[];
@@ -14,9 +17,12 @@
 
 export interface JudgedRun<H extends JudgedHistory> {
   readonly history: fc.Arbitrary<H>;
-  /** Empty when nothing went wrong. */
+  /** Violations found in the history; empty when there are none. */
   readonly judge: (history: H) => readonly string[];
-  /** First line of a counterexample: all that the steps don't tell. */
+  /**
+   * First line of a counterexample: inputs other than the steps, such as the
+   * seed.
+   */
   readonly title: (history: H) => string;
 }
 
@@ -29,9 +35,10 @@
   const property = fc.property(history, (input) => {
     histories += 1;
     commands += input.steps.length;
-    if (histories % PROGRESS_EVERY === 0) settings.onProgress?.(histories);
-    const found = judge(input);
-    if (found.length > 0) throw new TypeError(found.join("\n"));
+    if (histories % PROGRESS_INTERVAL_HISTORIES === 0)
+      settings.onProgress?.(histories);
+    const violations = judge(input);
+    if (violations.length > 0) throw new TypeError(violations.join("\n"));
   });
   const details = fc.check(property, checkParameters<[H]>(settings));
   const lines = details.counterexample?.flatMap((input) => [
--- a/fuzz/run-property.ts
+++ b/fuzz/run-property.ts
@@ -1,4 +1,7 @@
-/** Runs histories of commands under fast-check and reports as targets do. */
+/**
+ * Runs random command histories under fast-check and reports the result of a
+ * fuzz target.
+ */
 import fc from "fast-check";
 import {
   checkParameters,
@@ -6,24 +9,28 @@
   type FuzzSettings,
 } from "./target.js";
 
-const PROGRESS_EVERY = 10_000;
+const PROGRESS_INTERVAL_HISTORIES = 10_000;
 
-/** `violationsOf` runs one history; what it throws is a violation as well. */
-export function runHistories<C>(
+/**
+ * `violationsOf` runs one history; an error that it throws counts as a
+ * violation, too.
+ */
+export function runHistories<Command>(
   settings: FuzzSettings,
-  history: fc.Arbitrary<C[]>,
-  violationsOf: (commands: readonly C[]) => readonly string[],
+  history: fc.Arbitrary<Command[]>,
+  violationsOf: (commands: readonly Command[]) => readonly string[],
 ): FuzzResult {
   let histories = 0;
   let commands = 0;
   const property = fc.property(history, (steps) => {
     histories += 1;
     commands += steps.length;
-    if (histories % PROGRESS_EVERY === 0) settings.onProgress?.(histories);
+    if (histories % PROGRESS_INTERVAL_HISTORIES === 0)
+      settings.onProgress?.(histories);
     const violations = violationsOf(steps);
     if (violations.length > 0) throw new Error(violations.join("; "));
   });
-  const details = fc.check(property, checkParameters<[C[]]>(settings));
+  const details = fc.check(property, checkParameters<[Command[]]>(settings));
   const steps = details.counterexample?.[0] ?? [];
   const { errorInstance } = details;
   const reason = errorInstance instanceof Error ? errorInstance.message : "";
--- a/fuzz/target.ts
+++ b/fuzz/target.ts
@@ -1,4 +1,4 @@
-/** What a fuzz target offers to the runner in main.ts and to the tests. */
+/** Interface of fuzz targets, as used by main.ts and the tests. */
 import {
   interruptAfterTimeLimit,
   type Parameters as CheckParameters,
@@ -7,11 +7,14 @@
 export interface FuzzSettings {
   readonly seed: number;
   readonly runs: number;
-  /** Name of a safeguard to switch off, to show that the check can fail. */
+  /**
+   * Name of a safeguard to disable, to show that the oracle detects its
+   * absence.
+   */
   readonly mutation?: string;
-  /** Stops the run early; the histories so far count. */
+  /** Time limit of the run; the histories up to then count. */
   readonly stopAfterMs?: number;
-  /** Called now and then with the number of histories run. */
+  /** Called at intervals with the number of histories run. */
   readonly onProgress?: (histories: number) => void;
 }
 
@@ -19,20 +22,26 @@
   readonly histories: number;
   readonly commands: number;
   readonly violations: number;
-  /** Shrunk history of the violation, one step a line; empty when none. */
+  /**
+   * Shrunk history of the violation, one step per line; empty when there is
+   * none.
+   */
   readonly counterexample: readonly string[];
-  /** Replay path of fast-check for the violation. */
+  /** Replay path of the violation for fast-check. */
   readonly path: string;
 }
 
 export interface FuzzTarget {
   readonly name: string;
-  /** Safeguard name to the histories within which it must be caught. */
+  /**
+   * Number of histories within which a violation must be found, by the name of
+   * the disabled safeguard.
+   */
   readonly mutations: Readonly<Record<string, number>>;
   readonly run: (settings: FuzzSettings) => Promise<FuzzResult>;
 }
 
-/** The fast-check parameters that follow from the settings. */
+/** Converts the settings to fast-check parameters. */
 export function checkParameters<T>(settings: FuzzSettings): CheckParameters<T> {
   const { seed, runs, stopAfterMs } = settings;
   if (stopAfterMs === undefined) return { seed, numRuns: runs };
--- a/fuzz/targets.ts
+++ b/fuzz/targets.ts
@@ -1,4 +1,4 @@
-/** All fuzz targets by name, loaded on demand. */
+/** All fuzz targets by name, imported on demand. */
 import type { FuzzTarget } from "./target.js";
 
 export type LoadTarget = () => Promise<FuzzTarget>;
--- a/fuzz/virtual-time.ts
+++ b/fuzz/virtual-time.ts
@@ -1,4 +1,7 @@
-/** Virtual time: events run in the order of their time, without timers. */
+/**
+ * Virtual clock that runs scheduled events in order of time, without real
+ * timers.
+ */
 interface TimedEvent {
   readonly atMs: number;
   readonly run: () => void;
@@ -19,23 +22,23 @@
 
   after(delayMs: number, run: () => void): void {
     const atMs = this.currentMs + delayMs;
-    let place = this.events.length;
-    while (place > 0 && (this.events[place - 1]?.atMs ?? 0) > atMs) place -= 1;
-    this.events.splice(place, 0, { atMs, run });
+    let index = this.events.length;
+    while (index > 0 && (this.events[index - 1]?.atMs ?? 0) > atMs) index -= 1;
+    this.events.splice(index, 0, { atMs, run });
   }
 
   advance(durationMs: number): void {
     const untilMs = this.currentMs + durationMs;
-    let next = this.takeUntil(untilMs);
+    let next = this.shiftDue(untilMs);
     while (next !== undefined) {
       this.currentMs = next.atMs;
       next.run();
-      next = this.takeUntil(untilMs);
+      next = this.shiftDue(untilMs);
     }
     this.currentMs = untilMs;
   }
 
-  private takeUntil(untilMs: number): TimedEvent | undefined {
+  private shiftDue(untilMs: number): TimedEvent | undefined {
     const first = this.events.at(0);
     if (first === undefined || first.atMs > untilMs) return undefined;
     return this.events.shift();
--- a/tests/examples.test.ts
+++ b/tests/examples.test.ts
@@ -5,23 +5,23 @@
 import { ApricotdeckError, checkConfiguration } from "../src/internal.js";
 import { describe, it } from "./support/describe.js";
 
-const examples = new URL("../../examples/", import.meta.url);
+const examplesFolder = new URL("../../examples/", import.meta.url);
 
 describe("the examples", () => {
   for (const name of ["entry", "agent"]) {
-    it(`hold valid settings of an ${name}`, () => {
-      const file = new URL(`${name}.jsonc`, examples).pathname;
+    it(`contain valid settings of an ${name}`, () => {
+      const file = new URL(`${name}.jsonc`, examplesFolder).pathname;
       assert.is(loadSettings(file).role, name);
     });
   }
 
-  it("hold a valid configuration", () => {
-    const text = readFileSync(new URL("site.jsonc", examples), "utf8");
+  it("contain a valid configuration", () => {
+    const text = readFileSync(new URL("site.jsonc", examplesFolder), "utf8");
     assert.ok(checkConfiguration(parse(text)).isRight());
   });
 });
 
-describe("wrong settings", () => {
+describe("errors in settings", () => {
   const settings = {
     role: "entry",
     name: "entry",
@@ -29,7 +29,7 @@
     platform: { log: "http://127.0.0.1:1", vmList: "http://127.0.0.1:2" },
   };
 
-  const problemOf = (changes: object): string => {
+  const settingsErrorOf = (changes: object): string => {
     const text = JSON.stringify({ ...settings, ...changes });
     try {
       parseSettings(text, "entry.jsonc");
@@ -40,18 +40,18 @@
     return "";
   };
 
-  it("name file, path, expected and found value", () => {
-    const problem = problemOf({ limits: { bodyBytes: "much" } });
-    assert.match(problem, /1002/);
-    assert.match(problem, /file=entry\.jsonc, path=limits\.bodyBytes/);
-    assert.match(problem, /expected=.*number.*, found="much"/);
+  it("are reported with file, path, expected and found value", () => {
+    const message = settingsErrorOf({ limits: { bodyBytes: "much" } });
+    assert.match(message, /1002/);
+    assert.match(message, /file=entry\.jsonc, path=limits\.bodyBytes/);
+    assert.match(message, /expected=.*number.*, found="much"/);
   });
 
-  it("include fields that are unknown", () => {
-    assert.match(problemOf({ datacenter: "lac" }), /datacenter/);
+  it("include unknown fields", () => {
+    assert.match(settingsErrorOf({ datacenter: "lac" }), /datacenter/);
   });
 
-  it("name the line of a syntax error", () => {
+  it("include syntax errors, with their line", () => {
     try {
       parseSettings('{\n"role": "entry"\n"name": 1}', "entry.jsonc");
       assert.unreachable("accepted a syntax error");
--- a/tests/fuzz/configuration.test.ts
+++ b/tests/fuzz/configuration.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "../support/describe.js";
 
 describe("fuzz target configuration", () => {
-  it("finds nothing at a fixed seed", async () => {
+  it("finds no violation with a fixed seed", async () => {
     const result = await configurationTarget.run({ seed: 20, runs: 300 });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, 300);
@@ -11,7 +11,7 @@
 
   const { mutations } = configurationTarget;
   for (const [mutation, limit] of Object.entries(mutations)) {
-    it(`catches ${mutation} within ${limit} histories`, async () => {
+    it(`detects mutation ${mutation} within ${limit} histories`, async () => {
       const settings = { seed: 1, runs: limit, mutation };
       const result = await configurationTarget.run(settings);
       assert.is(result.violations, 1);
--- a/tests/fuzz/expertmap.test.ts
+++ b/tests/fuzz/expertmap.test.ts
@@ -3,19 +3,19 @@
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 300;
-/** A seed of its own keeps the slowest mutation to a second. */
+/** Seeds with which a slow mutation is found within a second. */
 const seeds: Readonly<Partial<Record<string, number>>> = { refuseBeforeNo: 4 };
 
 describe("expert map under random faults", () => {
-  it("keeps one map in every step and steps on", async () => {
+  it("uses one map in every step and keeps running", async () => {
     const result = await expertmap.run({ seed: 1, runs: CLEAN_RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, CLEAN_RUNS);
   });
 
-  describe("with a safeguard switched off", () => {
+  describe("with a safeguard disabled", () => {
     for (const [mutation, runs] of Object.entries(expertmap.mutations)) {
-      it(`notices the loss of ${mutation}`, async () => {
+      it(`finds a violation for mutation ${mutation}`, async () => {
         const seed = seeds[mutation] ?? 1;
         const result = await expertmap.run({ seed, runs, mutation });
         assert.is(result.violations, 1);
@@ -23,11 +23,12 @@
     }
   });
 
-  describe("histories that failed once", () => {
-    // The group stands still for ever. The engine of the agent that runs the
-    // formation starts again after its promise; the agent waited for its own
-    // engine to join, and its messages kept the others from forming anew.
-    it("forms anew when the former's engine forgot its promise", () => {
+  describe("regressions", () => {
+    // Guards against a group that is stuck forever: the engine of the agent
+    // that leads the formation restarts after its promise, and the agent waits
+    // for its own engine to join while its messages keep the other members from
+    // starting a new formation.
+    it("forms again when the leader's engine has forgotten its promise", () => {
       const fault = { kind: "restartEngine", member: 0 } as const;
       const steps = [
         { fault, wait: 55 },
@@ -36,10 +37,11 @@
       assert.equal(judge({ seed: 994943953, steps }), []);
     });
 
-    // The group stands still for ever. A member dies before its vote is known;
-    // another is armed. The formation goes back to the old map, for which the
-    // armed engine took no weights any more, so that it could never join.
-    it("lets an armed engine join a formation that goes back", () => {
+    // Guards against a group that is stuck forever: a member dies before its
+    // vote is known while another engine is armed, and the formation returns to
+    // the old map. If the armed engine refuses the weights for that map, it can
+    // never join.
+    it("lets an armed engine join a formation that returns to the old map", () => {
       const trap = {
         kind: "trap",
         member: 0,
@@ -61,10 +63,11 @@
       assert.equal(judge({ seed: 1637078277, steps }), []);
     });
 
-    // The group stands still for ever. An engine forgets a promise and joins an
-    // older formation that is still being sent, the others joined the newer:
-    // each looks whole by itself and waits for the rest.
-    it("forms anew when members joined different formations", () => {
+    // Guards against a group that is stuck forever: one engine forgets a
+    // promise and joins an older formation that is still being sent, while the
+    // others have joined the newer one. Each formation looks complete to its
+    // members, which wait for the rest.
+    it("forms again when members have joined different formations", () => {
       const trap = {
         kind: "trap",
         member: 0,
@@ -92,10 +95,11 @@
       assert.equal(judge({ seed: 14, steps }), []);
     });
 
-    // The group stands still for ever. An engine starts again, and a late order
-    // to stage reaches the new one; its agent believed all weights fetched, as
-    // the engine named the map that it had fetched for.
-    it("fetches again what an engine lost", () => {
+    // Guards against a group that is stuck forever: an engine restarts, and a
+    // delayed order to stage reaches the new process. The engine then names the
+    // map for which its predecessor fetched weights, so the agent takes all
+    // weights for fetched.
+    it("fetches weights again after an engine has lost them", () => {
       const propose = { kind: "propose", member: 0, map: 0 } as const;
       const steps = [
         { fault: { kind: "calls", ticks: 67 }, wait: 36 },
--- a/tests/fuzz/lives.test.ts
+++ b/tests/fuzz/lives.test.ts
@@ -5,16 +5,16 @@
 const RUNS = 1000;
 
 describe("fuzz target lives", () => {
-  it("finds nothing at a fixed seed", async () => {
+  it("finds no violation with a fixed seed", async () => {
     const result = await livesTarget.run({ seed: 17, runs: RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, RUNS);
   });
 
-  describe("histories that failed once", () => {
-    // The store is away and a runner's removal is read twice. The second one
-    // put off the time at which the runner is dropped.
-    it("drops a runner no later for a removal that is read twice", () => {
+  describe("regressions", () => {
+    // A runner's removal is read twice while the store is unavailable. The
+    // second read must not postpone the time at which the runner is dropped.
+    it("drops a runner on time when its removal is read twice", () => {
       const steps = [
         { kind: "outage", isAway: true },
         {
--- a/tests/fuzz/suspects.test.ts
+++ b/tests/fuzz/suspects.test.ts
@@ -5,16 +5,17 @@
 const RUNS = 2000;
 
 describe("fuzz target suspects", () => {
-  it("finds nothing at a fixed seed", async () => {
+  it("finds no violation with a fixed seed", async () => {
     const result = await suspectsTarget.run({ seed: 11, runs: RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, RUNS);
   });
 
-  describe("histories that failed once", () => {
-    it("keeps an end that is heard of before the crash", () => {
-      // An entry that starts reads the record with the end first. Left out for
-      // want of a suspect, a request that all others run would be withheld.
+  describe("regressions", () => {
+    it("keeps a completion that is read before the crash", () => {
+      // A starting entry reads the record of a request's completion before that
+      // of its crash. If it ignored the completion because the request isn't a
+      // suspect yet, it would withhold a request that all other entries run.
       const steps = [
         {
           kind: "crash",
--- a/tests/platform/crashing-request.test.ts
+++ b/tests/platform/crashing-request.test.ts
@@ -4,46 +4,48 @@
 import { pause } from "../support/wait.js";
 import { EntrySite, type CallerAnswer } from "./entry-site.js";
 
-/** Time that a runner is down for, ms. */
-const DOWN_MS = 700;
-/** Time after which a request comes again, ms. */
-const COMES_AGAIN_MS = 600;
-/** What begins to run where this is the body crashes its runner. */
-const POISON = "poison";
+/** How long a crashed runner is down, ms. */
+const DOWNTIME_MS = 700;
+/** Delay before the crashing request is sent again, ms. */
+const RETRY_DELAY_MS = 600;
+/** A request with this body crashes the runner that executes it. */
+const CRASHING_BODY = "poison";
 const RUNNERS = 4;
-const SUSPECTS = "apricotdeck_suspect_requests";
+const SUSPECTS_METRIC = "apricotdeck_suspect_requests";
 
-/** Serves all but the one request that crashes it. */
+/**
+ * Starts runners that answer every request except the one that crashes them.
+ */
 async function startRunners(site: EntrySite): Promise<void> {
-  const serve = answerWith("whole");
+  const serve = answerWith("ok");
   for (let count = 0; count < RUNNERS; count += 1) {
     const runner = await site.addRunner(serve);
     const behave: Behaviour = async (exchange) => {
-      if (exchange.arrival.body !== POISON) await serve(exchange);
-      else void runner.crash(DOWN_MS);
+      if (exchange.arrival.body !== CRASHING_BODY) await serve(exchange);
+      else void runner.crash(DOWNTIME_MS);
     };
     runner.behaviour = behave;
   }
 }
 
-/** Several entries of one site. */
-class Entries implements AsyncDisposable {
+/** Several entries on the same store. */
+class EntryCluster implements AsyncDisposable {
   private constructor(readonly sites: readonly EntrySite[]) {}
 
-  static async create(count: number): Promise<Entries> {
+  static async create(count: number): Promise<EntryCluster> {
     const first = await EntrySite.create();
     first.configure({});
     await startRunners(first);
     const sites = [first];
-    for (let at = 1; at < count; at += 1) {
-      sites.push(await EntrySite.beside(first, `entry-${at + 1}`));
+    for (let index = 1; index < count; index += 1) {
+      sites.push(await EntrySite.addEntry(first, `entry-${index + 1}`));
     }
-    const entries = new Entries(sites);
+    const cluster = new EntryCluster(sites);
     for (const site of sites) {
-      await site.until(async () => (await site.readiness()) === 200);
-      await site.until(() => site.entry.runnerCount === RUNNERS);
+      await site.waitUntil(async () => (await site.readiness()) === 200);
+      await site.waitUntil(() => site.entry.runnerCount === RUNNERS);
     }
-    return entries;
+    return cluster;
   }
 
   get first(): EntrySite {
@@ -54,7 +56,7 @@
     return this.first.runners.reduce((sum, { crashes }) => sum + crashes, 0);
   }
 
-  /** At one entry after the other. */
+  /** Sends the request to each entry in turn. */
   async callEach(
     path: string,
     body: string,
@@ -64,8 +66,8 @@
     for (let round = 0; round < rounds; round += 1) {
       for (const site of this.sites) {
         answers.push(await site.call({ path, method: "POST", body }));
-        // The entries hear of a crash within a few tens of milliseconds.
-        if (body === POISON) await pause(COMES_AGAIN_MS);
+        // The entries learn of a crash within a few tens of milliseconds.
+        if (body === CRASHING_BODY) await pause(RETRY_DELAY_MS);
       }
     }
     return answers;
@@ -79,68 +81,77 @@
 }
 
 describe("a request that crashes whoever runs it", () => {
-  it("crashes two runners at the most, though it comes again at every entry", async () => {
-    // Each crash takes all streams of a group along, and its time to form anew.
-    await using entries = await Entries.create(3);
-    const answers = await entries.callEach("/often/bad", POISON, 3);
-    assert.is(entries.crashes, 2);
-    // It hasn't run, and a caller that waits and comes again gets no further.
-    const last = answers.slice(-6).map(({ status }) => status);
-    assert.equal(last, Array(6).fill(502));
+  it("crashes at most two runners, though it is repeated at every entry", async () => {
+    // Each crash ends all streams of a group, which then has to form again.
+    await using cluster = await EntryCluster.create(3);
+    const answers = await cluster.callEach("/often/bad", CRASHING_BODY, 3);
+    assert.is(cluster.crashes, 2);
+    // The request wasn't run, and repeating it later wouldn't help, so there is
+    // no retry-after.
+    const lastStatuses = answers.slice(-6).map(({ status }) => status);
+    assert.equal(lastStatuses, Array(6).fill(502));
     assert.is(answers.at(-1)?.headers["retry-after"], undefined);
   });
 
-  it("crashes no more runners when it may not be repeated", async () => {
-    await using entries = await Entries.create(2);
-    await entries.callEach("/once/bad", POISON, 3);
-    assert.is(entries.crashes, 2);
+  it("crashes at most two runners when it isn't idempotent", async () => {
+    await using cluster = await EntryCluster.create(2);
+    await cluster.callEach("/once/bad", CRASHING_BODY, 3);
+    assert.is(cluster.crashes, 2);
   });
 
   it("takes no other request along", async () => {
-    // Others of the same account, at the same path, and the same of nobody else.
-    await using entries = await Entries.create(2);
-    await entries.callEach("/often/bad", POISON, 3);
-    await pause(DOWN_MS + 300);
-    const others = [
-      ...(await entries.callEach("/often/bad", "harmless", 5)),
-      ...(await entries.callEach("/often/other", "harmless", 5)),
-      ...(await entries.callEach("/often/bad", "", 5)),
+    // Requests of the same account: on the same path with other bodies, on
+    // another path, and without a body.
+    await using cluster = await EntryCluster.create(2);
+    await cluster.callEach("/often/bad", CRASHING_BODY, 3);
+    await pause(DOWNTIME_MS + 300);
+    const otherAnswers = [
+      ...(await cluster.callEach("/often/bad", "harmless", 5)),
+      ...(await cluster.callEach("/often/other", "harmless", 5)),
+      ...(await cluster.callEach("/often/bad", "", 5)),
     ];
-    const statuses = others.map(({ status }) => status);
+    const statuses = otherAnswers.map(({ status }) => status);
     assert.equal(statuses, Array(30).fill(200));
   });
 
   it("is known to an entry that starts afterwards", async () => {
-    await using entries = await Entries.create(2);
-    await entries.callEach("/often/bad", POISON, 3);
-    await using late = await EntrySite.beside(entries.first, "entry-9");
-    await late.until(async () => (await late.readiness()) === 200);
-    await late.until(async () => (await late.gauge(SUSPECTS)) > 0);
-    const options = { path: "/often/bad", method: "POST", body: POISON };
-    assert.is((await late.call(options)).status, 502);
-    assert.is(entries.crashes, 2);
+    await using cluster = await EntryCluster.create(2);
+    await cluster.callEach("/often/bad", CRASHING_BODY, 3);
+    await using lateEntry = await EntrySite.addEntry(cluster.first, "entry-9");
+    await lateEntry.waitUntil(
+      async () => (await lateEntry.readiness()) === 200,
+    );
+    await lateEntry.waitUntil(
+      async () => (await lateEntry.gauge(SUSPECTS_METRIC)) > 0,
+    );
+    const options = { path: "/often/bad", method: "POST", body: CRASHING_BODY };
+    assert.is((await lateEntry.call(options)).status, 502);
+    assert.is(cluster.crashes, 2);
   });
 
-  it("is known for what it is while the store is away", async () => {
-    // Each entry has only what it has seen itself.
-    await using entries = await Entries.create(2);
-    for (const site of entries.sites) await site.loseStore();
-    await entries.callEach("/often/bad", POISON, 3);
+  it("is recognized while the store is unavailable", async () => {
+    // Without the store, each entry knows only the crashes that it has seen
+    // itself.
+    await using cluster = await EntryCluster.create(2);
+    for (const site of cluster.sites) await site.makeStoreUnavailable();
+    await cluster.callEach("/often/bad", CRASHING_BODY, 3);
     assert.ok(
-      entries.crashes <= 2 * entries.sites.length,
-      `${entries.crashes}`,
+      cluster.crashes <= 2 * cluster.sites.length,
+      `${cluster.crashes}`,
     );
   });
 
-  it("is still known when the store has come back from an older copy", async () => {
-    await using entries = await Entries.create(2);
-    const copy = entries.first.store.copy();
-    await entries.callEach("/often/bad", POISON, 3);
-    entries.first.store.returnFrom(copy);
+  it("is still known after the store was restored from an older copy", async () => {
+    await using cluster = await EntryCluster.create(2);
+    const copy = cluster.first.store.copy();
+    await cluster.callEach("/often/bad", CRASHING_BODY, 3);
+    cluster.first.store.returnFrom(copy);
     await pause(3000);
-    await using late = await EntrySite.beside(entries.first, "entry-9");
-    await late.until(async () => (await late.gauge(SUSPECTS)) > 0);
-    await entries.callEach("/often/bad", POISON, 3);
-    assert.is(entries.crashes, 2);
+    await using lateEntry = await EntrySite.addEntry(cluster.first, "entry-9");
+    await lateEntry.waitUntil(
+      async () => (await lateEntry.gauge(SUSPECTS_METRIC)) > 0,
+    );
+    await cluster.callEach("/often/bad", CRASHING_BODY, 3);
+    assert.is(cluster.crashes, 2);
   });
 });
--- a/tests/platform/direct-path.test.ts
+++ b/tests/platform/direct-path.test.ts
@@ -14,16 +14,19 @@
 import { describe, it } from "../support/describe.js";
 import { CREDENTIAL, EntrySite } from "./entry-site.js";
 
-const EVENTS = 6;
+const EVENT_COUNT = 6;
 
-function wholeStream(): string {
-  return Array.from({ length: EVENTS }, (_, index) => eventOf(index + 1)).join(
-    "",
-  );
+function completeStream(): string {
+  return Array.from({ length: EVENT_COUNT }, (_, index) =>
+    eventOf(index + 1),
+  ).join("");
 }
 
-/** A stream of two seconds, an event each 50 ms. */
-async function trickle({ response, signed }: Exchange): Promise<void> {
+/** A stream of two seconds, with an event every 50 ms. */
+async function streamForTwoSeconds({
+  response,
+  signed,
+}: Exchange): Promise<void> {
   response.writeHead(200, signed);
   for (let id = 1; id <= 40; id += 1) {
     response.write(eventOf(id));
@@ -34,26 +37,28 @@
   response.end();
 }
 
-/** Breaks off in the fourth event; a resumed stream has no framing. */
+/**
+ * Breaks off inside the fourth event. A resumed stream is sent without framing.
+ */
 function resumeUntilClose(total: number): Behaviour {
   return (exchange) => {
     const after = Number(exchange.request.headers[headerNames.lastEventId]);
     if (!(after > 0)) return streamEvents(total, 3)(exchange);
     const ids = Array.from(
       { length: total - after },
-      (_, at) => after + at + 1,
+      (_, index) => after + index + 1,
     );
     return answerUntilClose(ids.map(eventOf).join(""))(exchange);
   };
 }
 
-function arrivalsOf(site: EntrySite): number {
+function countArrivals(site: EntrySite): number {
   return site.runners.reduce((sum, { arrivals }) => sum + arrivals.length, 0);
 }
 
 describe("direct path of an entry", () => {
-  describe("before it knows the site", () => {
-    it("isn't ready and says that nothing was run", async () => {
+  describe("before it has a configuration", () => {
+    it("isn't ready and reports requests as not run", async () => {
       await using site = await EntrySite.create();
       assert.is(await site.readiness(), 503);
       const { status, headers } = await site.call({ path: "/often/a" });
@@ -62,9 +67,11 @@
     });
   });
 
-  describe("passes on", () => {
-    it("method, path, query and body unchanged, and the answer as it came", async () => {
-      await using site = await EntrySite.serving(answerWith("done", 201));
+  describe("forwards", () => {
+    it("method, path, query, body and response unchanged", async () => {
+      await using site = await EntrySite.createWithRunners(
+        answerWith("done", 201),
+      );
       const answer = await site.call({
         path: "/once/a%20b?c=1&c=2",
         method: "POST",
@@ -81,8 +88,8 @@
       assert.is(arrival.headers["x-other"], "kept");
     });
 
-    it("the account's name, never the key, whatever the caller claims", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("the account's name, but neither its key nor identity headers set by the caller", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       await site.call({
         path: "/often/a",
         headers: {
@@ -96,8 +103,8 @@
       assert.is(headers[headerNames.expectedRunner], "r0");
     });
 
-    it("what is left of the caller's time, never more", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("the remaining time until the deadline", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       await site.call({
         path: "/often/a",
         headers: { [headerNames.deadlineMs]: "900" },
@@ -110,7 +117,7 @@
 
   describe("refuses", () => {
     it("unknown paths, unknown keys and bodies over the limit", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       const unknown = await site.call({ path: "/nowhere/" });
       const stranger = await site.call({
         path: "/often/a",
@@ -125,53 +132,53 @@
         [unknown.status, stranger.status, large.status],
         [404, 401, 413],
       );
-      assert.is(arrivalsOf(site), 0);
+      assert.is(countArrivals(site), 0);
     });
 
-    it("a key that was taken away, on a connection that is open", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("a revoked key on an open connection", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       assert.is((await site.call({ path: "/often/a" })).status, 200);
       const tenants = [{ name: "account-1", api_keys: ["key-two"] }];
       site.configure({ version: 2, tenants });
-      await site.until(
+      await site.waitUntil(
         async () => (await site.call({ path: "/often/a" })).status === 401,
       );
       assert.not.equal(CREDENTIAL, "key-two");
     });
 
-    it("never goes back to an older configuration", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("requests by the newest configuration, never by an older one", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       site.configure({
         version: 3,
         tenants: [{ name: "a", api_keys: ["new"] }],
       });
-      await site.until(
+      await site.waitUntil(
         async () => (await site.call({ path: "/often/a" })).status === 401,
       );
       const reads = (): number => site.store.calls.get(paths.read) ?? 0;
       const before = reads();
       site.configure({ version: 2 });
-      await site.until(() => reads() > before + 2);
+      await site.waitUntil(() => reads() > before + 2);
       assert.is((await site.call({ path: "/often/a" })).status, 401);
     });
   });
 
   describe("when a runner fails", () => {
-    it("runs a request that may not be repeated at most once", async () => {
-      // The runner takes the order and the connection is reset before the
-      // answer. It may have run: a second one could do it twice, so the caller
-      // learns that nobody knows.
-      await using site = await EntrySite.serving(
+    it("runs a non-idempotent request at most once", async () => {
+      // The runner accepts the request and resets the connection before the
+      // response. The request may have been executed, so the caller is told
+      // that the outcome is unknown.
+      await using site = await EntrySite.createWithRunners(
         resetUnanswered,
         resetUnanswered,
       );
       const { status } = await site.call({ path: "/once/a", method: "POST" });
       assert.is(status, 504);
-      assert.is(arrivalsOf(site), 1);
+      assert.is(countArrivals(site), 1);
     });
 
-    it("tries another one that has not refused", async () => {
-      await using site = await EntrySite.serving(
+    it("tries another one after a refusal", async () => {
+      await using site = await EntrySite.createWithRunners(
         refuseAsFull,
         answerWith("ok"),
       );
@@ -184,8 +191,11 @@
       }
     });
 
-    it("says not run, and when to come back, when all have refused", async () => {
-      await using site = await EntrySite.serving(refuseAsFull, refuseAsFull);
+    it("reports not run, with retry-after, when all have refused", async () => {
+      await using site = await EntrySite.createWithRunners(
+        refuseAsFull,
+        refuseAsFull,
+      );
       const { status, headers } = await site.call({
         path: "/once/a",
         method: "POST",
@@ -194,11 +204,11 @@
       assert.ok(Number(headers["retry-after"]) > 0);
     });
 
-    it("goes round one that can't be reached", async () => {
-      // A runner has crashed and its registration stands for some seconds:
+    it("avoids an unreachable runner", async () => {
+      // A runner has crashed, and its registration remains for some seconds;
       // its port refuses connections. Nothing was sent, so any request may go
-      // to another runner, and the entry must survive it.
-      await using site = await EntrySite.serving(
+      // to another runner, and the error must not end the entry.
+      await using site = await EntrySite.createWithRunners(
         answerWith("ok"),
         answerWith("ok"),
       );
@@ -209,15 +219,15 @@
       }
     });
 
-    it("says not run when none can be reached", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("reports not run when none can be reached", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       await site.runners[0][Symbol.asyncDispose]();
       const { status } = await site.call({ path: "/once/a", method: "POST" });
       assert.is(status, 503);
     });
 
-    it("repeats an idempotent request at another runner", async () => {
-      await using site = await EntrySite.serving(
+    it("retries an idempotent request at another runner", async () => {
+      await using site = await EntrySite.createWithRunners(
         resetUnanswered,
         answerWith("ok"),
       );
@@ -226,8 +236,8 @@
       }
     });
 
-    it("answers when the caller's time is over", async () => {
-      await using site = await EntrySite.serving(staySilent);
+    it("answers when the deadline passes", async () => {
+      await using site = await EntrySite.createWithRunners(staySilent);
       const { status } = await site.call({
         path: "/once/a",
         method: "POST",
@@ -236,36 +246,39 @@
       assert.is(status, 504);
     });
 
-    it("lets the runner go when the caller leaves", async () => {
-      // The caller closes its connection: the runner must not go on working
-      // for nobody, and learns of it by its own connection's end.
-      await using site = await EntrySite.serving(staySilent);
+    it("closes the runner's connection when the caller disconnects", async () => {
+      // The caller closes its connection. The entry closes the connection to
+      // the runner, so that the runner stops working on the request.
+      await using site = await EntrySite.createWithRunners(staySilent);
       const leaving = new AbortController();
       const call = site.call({ path: "/often/a", signal: leaving.signal });
-      await site.until(() => arrivalsOf(site) === 1);
+      await site.waitUntil(() => countArrivals(site) === 1);
       leaving.abort();
       await call.catch(() => undefined);
-      await site.until(() => site.runners[0].arrivals[0].isAbandoned);
+      await site.waitUntil(() => site.runners[0].arrivals[0].isAbandoned);
     });
   });
 
-  describe("never gives a caller", () => {
-    it("an answer to somebody else's request", async () => {
-      // The runner sends a second answer to the one before; it lies where the
-      // next request's answer is due.
-      await using site = await EntrySite.serving(({ response, signed }) => {
-        const other = { ...signed, [headerNames.attemptId]: "somebody-else" };
-        response.writeHead(200, other).end("theirs");
-      });
+  describe("never passes to a caller", () => {
+    it("the response to another request", async () => {
+      // The runner sends a second response to the previous request, in the
+      // place of the next request's response.
+      await using site = await EntrySite.createWithRunners(
+        ({ response, signed }) => {
+          const other = { ...signed, [headerNames.attemptId]: "somebody-else" };
+          response.writeHead(200, other).end("theirs");
+        },
+      );
       const { status, body } = await site.call({ path: "/once/a" });
       assert.is(status, 504);
       assert.not.ok(body.includes("theirs"));
     });
 
-    it("half an answer as a whole one", async () => {
-      // The answer has no length and ends with its connection. The connection
-      // is reset on the way, and what came so far would pass for all of it.
-      await using site = await EntrySite.serving(
+    it("a truncated response as a complete one", async () => {
+      // The response has no length and ends with its connection. The connection
+      // is reset on the way, and the bytes received so far could pass for the
+      // whole body.
+      await using site = await EntrySite.createWithRunners(
         async ({ request, signed }) => {
           const head = Object.entries(signed).map(
             ([name, value]) => `${name}: ${value}\r\n`,
@@ -285,12 +298,15 @@
       assert.not.ok(body.includes("half of"));
     });
 
-    it("more certainty of an answer's end than its runner gave", async () => {
-      // The answer has no length, and its runner's process ends inside it. The
-      // connection closes in good order, which is also how such an answer ends
-      // when it is whole. With a length of our own, half of it would pass for
-      // all; closed the same way, the caller knows as much as we do.
-      await using site = await EntrySite.serving(answerUntilClose("half of"));
+    it("framing that the runner's response didn't have", async () => {
+      // The response has no length, and its runner dies inside the body. The
+      // connection closes in order, as it does after a complete response. A
+      // content-length set by the entry would present half of the body as all
+      // of it; closing the connection the same way leaves the caller with the
+      // same uncertainty.
+      await using site = await EntrySite.createWithRunners(
+        answerUntilClose("half of"),
+      );
       const { status, headers, body } = await site.call({ path: "/once/a" });
       assert.is(status, 200);
       assert.is(body, "half of");
@@ -299,10 +315,10 @@
       assert.is(headers.connection, "close");
     });
 
-    it("a stream's end that its runner didn't mark", async () => {
-      // A stream without framing: after the last event that came the connection
-      // closes, because the stream is over or because the runner is.
-      await using site = await EntrySite.serving(
+    it("a framed end of a stream that had no framing", async () => {
+      // A stream without framing: after the last event the connection closes,
+      // either because the stream is complete or because the runner died.
+      await using site = await EntrySite.createWithRunners(
         answerUntilClose(eventOf(1) + eventOf(2)),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
@@ -311,103 +327,115 @@
       assert.is(answer.headers.connection, "close");
     });
 
-    it("a mark of the end when only the first part of a stream was marked", async () => {
+    it("a framed end when only the first part of the stream had framing", async () => {
       // The first runner's connection breaks in its fourth event; the second
-      // one goes on without framing. The caller has been promised a marked end,
-      // and gets every event but no mark that nobody vouches for.
-      await using site = await EntrySite.serving(
-        resumeUntilClose(EVENTS),
-        resumeUntilClose(EVENTS),
+      // runner resumes without framing. The caller has been promised a framed
+      // end. It gets every event but no final chunk, since no runner has
+      // confirmed the end.
+      await using site = await EntrySite.createWithRunners(
+        resumeUntilClose(EVENT_COUNT),
+        resumeUntilClose(EVENT_COUNT),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, wholeStream());
-      assert.not.ok(answer.isWhole);
+      assert.is(answer.body, completeStream());
+      assert.not.ok(answer.isComplete);
     });
 
     it("a success that no runner has signed", async () => {
-      await using site = await EntrySite.serving(({ response, signed }) => {
-        const attempt = signed[headerNames.attemptId];
-        response.writeHead(200, { [headerNames.attemptId]: attempt }).end("?");
-      });
+      await using site = await EntrySite.createWithRunners(
+        ({ response, signed }) => {
+          const attempt = signed[headerNames.attemptId];
+          response
+            .writeHead(200, { [headerNames.attemptId]: attempt })
+            .end("?");
+        },
+      );
       assert.is((await site.call({ path: "/once/a" })).status, 504);
     });
   });
 
   describe("streams", () => {
-    it("pass whole", async () => {
-      await using site = await EntrySite.serving(streamEvents(EVENTS));
+    it("are forwarded completely", async () => {
+      await using site = await EntrySite.createWithRunners(
+        streamEvents(EVENT_COUNT),
+      );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, wholeStream());
-      assert.ok(answer.isWhole);
+      assert.is(answer.body, completeStream());
+      assert.ok(answer.isComplete);
     });
 
-    it("go on at another runner, every event once", async () => {
-      // The first runner is cut off inside its fourth event. The caller must
-      // not see that part, and gets the event whole from the next runner.
-      await using site = await EntrySite.serving(
-        streamEvents(EVENTS, 3),
-        streamEvents(EVENTS),
+    it("resume at another runner, with every event delivered once", async () => {
+      // The first runner breaks off inside its fourth event. The caller must
+      // not see that part and gets the whole event from the next runner.
+      await using site = await EntrySite.createWithRunners(
+        streamEvents(EVENT_COUNT, 3),
+        streamEvents(EVENT_COUNT),
       );
       for (let round = 0; round < 4; round += 1) {
         const answer = await site.call({ path: "/stream/a", method: "POST" });
-        assert.is(answer.body, wholeStream());
-        assert.ok(answer.isWhole);
+        assert.is(answer.body, completeStream());
+        assert.ok(answer.isComplete);
       }
     });
 
-    it("end visibly broken when they can't go on", async () => {
-      await using site = await EntrySite.serving(
-        streamEvents(EVENTS, 2),
-        streamEvents(EVENTS, 2),
+    it("end with an error when they can't be resumed", async () => {
+      await using site = await EntrySite.createWithRunners(
+        streamEvents(EVENT_COUNT, 2),
+        streamEvents(EVENT_COUNT, 2),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.not.ok(answer.isWhole);
+      assert.not.ok(answer.isComplete);
       assert.is(answer.body, eventOf(1) + eventOf(2));
     });
 
-    it("go on elsewhere when their connection falls silent", async () => {
-      // Something on the way loses track of the connection after two events:
-      // no reset comes, ever. Other streams of the service go on, so it isn't
-      // the group; the caller would give up after two seconds.
+    it("resume elsewhere when their connection falls silent", async () => {
+      // A middlebox loses the connection's state after two events, so that no
+      // reset ever arrives. Other streams of the service progress, so the group
+      // isn't the cause; the caller would give up after two seconds.
       const behave: Behaviour = (exchange) => {
         const { request, response, signed } = exchange;
-        if (request.url === "/stream/beside") return trickle(exchange);
+        if (request.url === "/stream/beside")
+          return streamForTwoSeconds(exchange);
         const isResumed = request.headers[headerNames.lastEventId];
-        if (isResumed !== undefined) return streamEvents(EVENTS)(exchange);
+        if (isResumed !== undefined) return streamEvents(EVENT_COUNT)(exchange);
         response.writeHead(200, signed);
         response.write(eventOf(1));
         response.write(eventOf(2));
         return undefined;
       };
-      await using site = await EntrySite.serving(behave, behave);
+      await using site = await EntrySite.createWithRunners(behave, behave);
       const headers = { [headerNames.deadlineMs]: "5000" };
       const method = "POST";
-      const beside = site.call({ path: "/stream/beside", method, headers });
+      const otherStream = site.call({
+        path: "/stream/beside",
+        method,
+        headers,
+      });
       const answer = await site.call({ path: "/stream/a", method, headers });
-      assert.is(answer.body, wholeStream());
-      assert.ok(answer.isWhole);
-      assert.ok((await beside).isWhole);
+      assert.is(answer.body, completeStream());
+      assert.ok(answer.isComplete);
+      assert.ok((await otherStream).isComplete);
     });
 
-    it("leave a slow runner, every event once", async () => {
-      // One rank turns slow. It makes each step with its whole group, so all
-      // streams are late for as long as it has work of its own. The planner
-      // notes it, and the stream that runs there goes on at another runner.
+    it("move away from a slow runner, with every event delivered once", async () => {
+      // One rank becomes slow. Every step includes the whole group, so all
+      // streams are late while that rank has requests of its own. The planner
+      // notes the slow rank, and its stream resumes at another runner.
       const behave: Behaviour = (exchange) =>
         exchange.request.headers[headerNames.lastEventId] === undefined
-          ? trickle(exchange)
+          ? streamForTwoSeconds(exchange)
           : streamEvents(40)(exchange);
-      await using site = await EntrySite.serving(behave, behave);
+      await using site = await EntrySite.createWithRunners(behave, behave);
       const call = site.call({
         path: "/stream/a",
         method: "POST",
         headers: { [headerNames.deadlineMs]: "5000" },
       });
-      await site.until(() => arrivalsOf(site) === 1);
+      await site.waitUntil(() => countArrivals(site) === 1);
       const slow = site.runners.find(({ arrivals }) => arrivals.length === 1);
       site.store.put(topics.pace, slow?.address ?? "", { slowness: 5 });
       const answer = await call;
-      assert.ok(answer.isWhole);
+      assert.ok(answer.isComplete);
       const ids = answer.body.matchAll(/^id: (\d+)$/gm);
       const expected = Array.from({ length: 40 }, (_, index) => index + 1);
       assert.equal(
@@ -421,8 +449,10 @@
       assert.ok(slow?.arrivals[0].isAbandoned);
     });
 
-    it("begin after the event that the caller has", async () => {
-      await using site = await EntrySite.serving(streamEvents(EVENTS));
+    it("start after the last event that the caller has received", async () => {
+      await using site = await EntrySite.createWithRunners(
+        streamEvents(EVENT_COUNT),
+      );
       const answer = await site.call({
         path: "/stream/a",
         method: "POST",
@@ -431,21 +461,23 @@
       assert.is(answer.body, eventOf(5) + eventOf(6));
     });
 
-    it("stop at events that are not theirs", async () => {
-      await using site = await EntrySite.serving(({ response, signed }) => {
-        response.writeHead(200, signed);
-        response.write(eventOf(1));
-        response.end(eventOf(3));
-      });
+    it("stop at an event out of sequence", async () => {
+      await using site = await EntrySite.createWithRunners(
+        ({ response, signed }) => {
+          response.writeHead(200, signed);
+          response.write(eventOf(1));
+          response.end(eventOf(3));
+        },
+      );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
       assert.is(answer.body, eventOf(1));
-      assert.not.ok(answer.isWhole);
+      assert.not.ok(answer.isComplete);
     });
   });
 
   describe("metrics", () => {
-    it("tell how requests and attempts ended", async () => {
-      await using site = await EntrySite.serving(refuseAsFull);
+    it("count refused requests and ended attempts", async () => {
+      await using site = await EntrySite.createWithRunners(refuseAsFull);
       await site.call({ path: "/once/a", method: "POST" });
       const response = await fetch(
         `http://${site.entry.addresses.metrics}/metrics`,
@@ -457,14 +489,14 @@
   });
 
   describe("membership", () => {
-    it("sends nothing more to a leaving runner", async () => {
-      await using site = await EntrySite.serving(
+    it("sends no requests to a draining runner", async () => {
+      await using site = await EntrySite.createWithRunners(
         answerWith("a"),
         answerWith("b"),
       );
       const [leaving] = site.runners;
       site.register(leaving, "draining");
-      await site.until(() => site.entry.runnerCount === 1);
+      await site.waitUntil(() => site.entry.runnerCount === 1);
       const before = leaving.arrivals.length;
       for (let round = 0; round < 6; round += 1) {
         assert.is((await site.call({ path: "/often/a" })).body, "b");
@@ -472,12 +504,12 @@
       assert.is(leaving.arrivals.length, before);
     });
 
-    it("takes the runner that registered last for the one at an address", async () => {
-      // A runner's VM lost power. It is back under a new id at its old address,
-      // and its old registration hasn't lapsed yet. A new entry reads both in
-      // one page, ordered by id; sent to the old one, a request is refused as
-      // misdirected and its caller has lost an attempt.
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("assigns an address to the runner that registered there last", async () => {
+      // A runner's VM lost power. It registers under a new id at its old
+      // address before its old registration has expired. A new entry reads both
+      // in one page, ordered by id; a request sent to the old id is refused as
+      // misdirected and costs the caller an attempt.
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       const [runner] = site.runners;
       const { address } = runner;
       site.register({ id: "z-before", address }, "ready");
@@ -485,22 +517,22 @@
       site.store.forgetHistory(topics.register);
       const pages = (): number => site.store.calls.get(paths.newest) ?? 0;
       const before = pages();
-      await site.until(() => pages() > before);
-      await site.until(() => site.entry.runnerCount === 1);
+      await site.waitUntil(() => pages() > before);
+      await site.waitUntil(() => site.entry.runnerCount === 1);
       const answer = await site.call({ path: "/once/a" });
       assert.is(answer.status, 200);
       assert.is(runner.misdirected, 0);
     });
 
-    it("asks a runner no more that another one has replaced", async () => {
-      // The runner at the address has changed and isn't registered yet. Each
-      // request that goes there costs its caller one of two attempts.
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("stops using a runner that was replaced", async () => {
+      // The runner at the address was replaced by one that isn't registered
+      // yet. Each request sent there costs its caller one of two attempts.
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       const [runner] = site.runners;
       site.register({ id: "r9", address: runner.address }, "ready");
-      await site.until(() => site.entry.runnerCount === 1);
+      await site.waitUntil(() => site.entry.runnerCount === 1);
       const other = await site.addRunner(answerWith("ok"));
-      await site.until(() => site.entry.runnerCount === 2);
+      await site.waitUntil(() => site.entry.runnerCount === 2);
       for (let round = 0; round < 6; round += 1) {
         assert.is((await site.call({ path: "/once/a" })).status, 200);
       }
@@ -508,35 +540,35 @@
       assert.is(other.arrivals.length, 6);
     });
 
-    it("goes on with what it knows while the store is away", async () => {
-      await using site = await EntrySite.serving(answerWith("ok"));
+    it("keeps serving with its last known state while the store is unavailable", async () => {
+      await using site = await EntrySite.createWithRunners(answerWith("ok"));
       site.store.mood = "refusing";
-      await site.until(() => (site.store.calls.get(paths.read) ?? 0) > 6);
+      await site.waitUntil(() => (site.store.calls.get(paths.read) ?? 0) > 6);
       assert.is((await site.call({ path: "/often/a" })).status, 200);
       assert.is(await site.readiness(), 200);
     });
   });
 
   describe("leaving", () => {
-    it("finishes what runs, and takes no new work afterwards", async () => {
-      // A request is at a runner when the process is told to stop. Cutting it
-      // would lose an order that was drafted already.
-      await using site = await EntrySite.serving(
+    it("finishes running requests and accepts no new ones afterwards", async () => {
+      // A request is being executed when the process is told to stop. Aborting
+      // it would lose work that is nearly done.
+      await using site = await EntrySite.createWithRunners(
         async ({ response, signed }) => {
           await new Promise((resolve) => {
             setTimeout(resolve, 300);
           });
-          response.writeHead(200, signed).end("late but whole");
+          response.writeHead(200, signed).end("late but complete");
         },
       );
       const call = site.call({ path: "/once/a", method: "POST" });
-      await site.until(() => arrivalsOf(site) === 1);
-      const left = site.entry.leave();
+      await site.waitUntil(() => countArrivals(site) === 1);
+      const stopped = site.entry.leave();
       assert.is(await site.readiness(), 503);
       const answer = await call;
-      assert.is(answer.body, "late but whole");
+      assert.is(answer.body, "late but complete");
       assert.is(answer.headers.connection, "close");
-      await left;
+      await stopped;
       const refused = await site
         .call({ path: "/often/a" })
         .catch(() => "closed");
--- a/tests/platform/entry-site.ts
+++ b/tests/platform/entry-site.ts
@@ -1,5 +1,8 @@
-/** An entry of the direct path between stand-ins of the users' platform. */
-import { request as send } from "node:http";
+/**
+ * Runs an entry in direct mode against stand-ins of the platform's store and
+ * runners.
+ */
+import { request as sendRequest } from "node:http";
 import * as assert from "uvu/assert";
 import { decodeConfiguration } from "../../platform/configuration.js";
 import { headerCodec } from "../../platform/headers.js";
@@ -17,14 +20,14 @@
 export const CREDENTIAL = "key-one";
 const HOST = "site.example";
 /** Several times the interval at which an entry reads the register, ms. */
-const SOON_MS = 4000;
+const EVENTUAL_TIMEOUT_MS = 4000;
 
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: Readonly<NodeJS.Dict<string | string[]>>;
   readonly body: string;
-  /** False when the connection broke before the answer's end. */
-  readonly isWhole: boolean;
+  /** False when the connection broke before the end of the response. */
+  readonly isComplete: boolean;
 }
 
 export interface CallOptions {
@@ -35,7 +38,7 @@
   readonly signal?: AbortSignal;
 }
 
-let attempts = 0;
+let attemptCount = 0;
 
 export class EntrySite implements AsyncDisposable {
   readonly runners: SigningRunner[] = [];
@@ -47,21 +50,27 @@
     readonly entry: DirectEntry,
   ) {}
 
-  /** Starts without runners, and without a configuration but for `fill`. */
+  /**
+   * Starts an entry without runners. There is no configuration unless
+   * `prepareStore` writes one.
+   */
   static async create(
-    fill: (store: KeyedStore) => void = () => undefined,
+    prepareStore: (store: KeyedStore) => void = () => undefined,
   ): Promise<EntrySite> {
     const store = await KeyedStore.create();
-    fill(store);
-    return EntrySite.at(store, "entry-1");
+    prepareStore(store);
+    return EntrySite.startEntry(store, "entry-1");
   }
 
-  /** One more entry of the site. */
-  static beside({ store }: EntrySite, name: string): Promise<EntrySite> {
-    return EntrySite.at(store, name);
+  /** Starts another entry on the same store. */
+  static addEntry({ store }: EntrySite, name: string): Promise<EntrySite> {
+    return EntrySite.startEntry(store, name);
   }
 
-  private static async at(store: KeyedStore, name: string): Promise<EntrySite> {
+  private static async startEntry(
+    store: KeyedStore,
+    name: string,
+  ): Promise<EntrySite> {
     const client = StoreClient.create(store.address);
     const entry = await DirectEntry.create({
       settings: {
@@ -93,15 +102,18 @@
     return new EntrySite(store, client, entry);
   }
 
-  /** With a configuration in force and one runner for each behaviour. */
-  static async serving(
+  /**
+   * Starts an entry with a configuration and one runner for each behaviour, and
+   * waits until it is ready and knows all runners.
+   */
+  static async createWithRunners(
     ...behaviours: readonly Behaviour[]
   ): Promise<EntrySite> {
     const site = await EntrySite.create();
     site.configure({});
     for (const behave of behaviours) await site.addRunner(behave);
-    await site.until(async () => (await site.readiness()) === 200);
-    await site.until(() => site.entry.runnerCount === behaviours.length);
+    await site.waitUntil(async () => (await site.readiness()) === 200);
+    await site.waitUntil(() => site.entry.runnerCount === behaviours.length);
     return site;
   }
 
@@ -162,8 +174,11 @@
     return runner;
   }
 
-  /** The runner starts again under its id, at another address. */
-  async startElsewhere(
+  /**
+   * Starts a new incarnation of the runner under the same id at another
+   * address.
+   */
+  async restartAtNewAddress(
     { id }: SigningRunner,
     behave: Behaviour,
     fields: Readonly<Record<string, unknown>>,
@@ -174,18 +189,20 @@
     return runner;
   }
 
-  /** `fields` come after the usual ones. */
+  /** Writes a registration; `fields` override the default ones. */
   register(
     { id, address }: Pick<SigningRunner, "id" | "address">,
     state: string,
     fields: Readonly<Record<string, unknown>> = {},
   ): void {
-    const entry = { ...this.registrationOf(address), state, ...fields };
+    const entry = { ...this.nextRegistration(address), state, ...fields };
     this.store.put(topics.register, id, entry);
   }
 
-  /** What a ready runner at host:port writes next. */
-  registrationOf(address: string): Readonly<Record<string, unknown>> {
+  /**
+   * Returns the next heartbeat's registration of a ready runner at `address`.
+   */
+  nextRegistration(address: string): Readonly<Record<string, unknown>> {
     this.heartbeat += 1;
     return {
       backend: "service",
@@ -199,31 +216,34 @@
     };
   }
 
-  /** Lines of the entry's metrics that begin so. */
-  async metric(name: string): Promise<readonly string[]> {
+  /** Lines of the entry's metrics that start with `name`. */
+  async metricLines(name: string): Promise<readonly string[]> {
     const { metrics } = this.entry.addresses;
     const response = await fetch(`http://${metrics ?? ""}/metrics`);
     const lines = (await response.text()).split("\n");
     return lines.filter((line) => line.startsWith(name));
   }
 
-  /** The value of a gauge. */
+  /** Value of a gauge that has a single series. */
   async gauge(name: string): Promise<number> {
-    const [line = ""] = await this.metric(name);
+    const [line = ""] = await this.metricLines(name);
     return Number(line.split(" ").at(-1));
   }
 
-  /** Outages of the store that the entry has seen, in all of its topics. */
+  /** Number of store outages that the entry has counted over all topics. */
   async outages(): Promise<number> {
-    const lines = await this.metric("apricotdeck_store_outages_total{");
+    const lines = await this.metricLines("apricotdeck_store_outages_total{");
     return lines.reduce((sum, line) => sum + Number(line.split(" ").at(-1)), 0);
   }
 
-  /** The store refuses all calls, and the entry has seen it at the register. */
-  async loseStore(): Promise<void> {
+  /**
+   * Makes the store refuse every call and waits until the entry has counted the
+   * outage of the register.
+   */
+  async makeStoreUnavailable(): Promise<void> {
     this.store.mood = "refusing";
-    await this.soon("the outage is seen", async () => {
-      const lines = await this.metric("apricotdeck_store_outages_total");
+    await this.assertEventually("the outage is seen", async () => {
+      const lines = await this.metricLines("apricotdeck_store_outages_total");
       return lines.some((line) => /topic="register".* [1-9]/.test(line));
     });
   }
@@ -238,9 +258,9 @@
   call(options: CallOptions): Promise<CallerAnswer> {
     const { path, method = "GET", body, headers = {}, signal } = options;
     const [host, port] = this.entry.addresses.callers.split(":");
-    attempts += 1;
+    attemptCount += 1;
     return new Promise((resolve, reject) => {
-      const request = send({
+      const request = sendRequest({
         host,
         port,
         path,
@@ -248,7 +268,7 @@
         ...(signal === undefined ? {} : { signal }),
         headers: {
           host: HOST,
-          [headerNames.attemptId]: `attempt-${attempts}`,
+          [headerNames.attemptId]: `attempt-${attemptCount}`,
           [headerNames.credential]: CREDENTIAL,
           [headerNames.deadlineMs]: "1400",
           ...headers,
@@ -256,22 +276,22 @@
       });
       request.once("error", reject);
       request.once("response", (response) => {
-        // A reset shows here only: the library calls the answer complete where
-        // nothing but the connection's end marks it.
+        // Without length or chunks, Node.js reports a reset only on the request
+        // and marks the response as complete.
         let isReset = false;
         request.off("error", reject);
         request.on("error", () => {
           isReset = true;
         });
-        const parts: Buffer[] = [];
-        response.on("data", (part: Buffer) => parts.push(part));
+        const chunks: Buffer[] = [];
+        response.on("data", (chunk: Buffer) => chunks.push(chunk));
         response.on("error", () => undefined);
         response.once("close", () => {
           resolve({
             status: response.statusCode ?? 0,
             headers: response.headers,
-            body: Buffer.concat(parts).toString(),
-            isWhole: response.complete && !isReset,
+            body: Buffer.concat(chunks).toString(),
+            isComplete: response.complete && !isReset,
           });
         });
       });
@@ -279,8 +299,8 @@
     });
   }
 
-  /** Polls; the test's own time limit is the bound. */
-  async until(condition: () => boolean | Promise<boolean>): Promise<void> {
+  /** Polls without a limit of its own; the test's time limit applies. */
+  async waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
     while (!(await condition())) {
       await new Promise((resolve) => {
         setTimeout(resolve, 5);
@@ -288,18 +308,21 @@
     }
   }
 
-  /** Fails where the condition doesn't hold in time. */
-  async soon(
-    what: string,
+  /** Fails when the condition isn't met within the time limit. */
+  async assertEventually(
+    description: string,
     condition: () => boolean | Promise<boolean>,
   ): Promise<void> {
-    const untilMs = performance.now() + SOON_MS;
-    let holds = false;
-    await this.until(async () => {
-      holds = await condition();
-      return holds || performance.now() > untilMs;
+    const deadlineAtMs = performance.now() + EVENTUAL_TIMEOUT_MS;
+    let isMet = false;
+    await this.waitUntil(async () => {
+      isMet = await condition();
+      return isMet || performance.now() > deadlineAtMs;
     });
-    assert.ok(holds, `not within ${SOON_MS} ms: ${what}`);
+    assert.ok(
+      isMet,
+      `condition not met within ${EVENTUAL_TIMEOUT_MS} ms: ${description}`,
+    );
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
--- a/tests/platform/broken-group.test.ts
+++ b/tests/platform/failing-group.test.ts
@@ -9,22 +9,25 @@
 import { EntrySite } from "./entry-site.js";
 
 const CALLS = 60;
-/** Refusals that open the breaker, and as many trials as fit into the test. */
-const MOST_REFUSED = 12;
+/**
+ * Refusals that open the circuit breaker, plus as many probes as fit into the
+ * test.
+ */
+const MAXIMUM_REFUSED = 12;
 
-describe("a group that refuses beside one that is well", () => {
-  it("gets next to no request, and no caller is refused for it", async () => {
-    // Each request that is sent into the broken group loses one of its attempts
-    // and takes one of the service's repeats.
+describe("a group that refuses everything next to a healthy one", () => {
+  it("gets hardly any requests, and every caller is answered", async () => {
+    // Each request that is sent to the failing group costs one of its attempts
+    // and one retry of the service's retry budget.
     let refused = 0;
     const refuse: Behaviour = async (exchange) => {
       refused += 1;
       await refuseAsFull(exchange);
     };
-    const whole = answerWith("whole");
+    const succeed = answerWith("ok");
     await using site = await EntrySite.create();
     site.configure({});
-    for (const behave of [refuse, refuse, whole, whole]) {
+    for (const behave of [refuse, refuse, succeed, succeed]) {
       await site.addRunner(behave);
     }
     const addresses = site.runners.map(({ address }) => address);
@@ -33,9 +36,9 @@
       const note = { service: "service", epoch: 1, addresses: members };
       site.store.put(topics.groups, `service.${at}`, note);
     });
-    await site.until(async () => (await site.readiness()) === 200);
-    await site.until(() => site.entry.runnerCount === 4);
-    await site.until(
+    await site.waitUntil(async () => (await site.readiness()) === 200);
+    await site.waitUntil(() => site.entry.runnerCount === 4);
+    await site.waitUntil(
       async () => (await site.gauge("apricotdeck_runner_groups")) === 2,
     );
     const statuses: number[] = [];
@@ -44,6 +47,6 @@
       statuses.push(status);
     }
     assert.equal(statuses, Array(CALLS).fill(200));
-    assert.ok(refused <= MOST_REFUSED, String(refused));
+    assert.ok(refused <= MAXIMUM_REFUSED, String(refused));
   });
 });
--- a/tests/platform/process.test.ts
+++ b/tests/platform/process.test.ts
@@ -10,7 +10,9 @@
 import { KeyedStore } from "../../standins/keyed-store.js";
 import { describe, it } from "../support/describe.js";
 
-const MAIN = fileURLToPath(new URL("../../platform/main.js", import.meta.url));
+const MAIN_FILE = fileURLToPath(
+  new URL("../../platform/main.js", import.meta.url),
+);
 
 async function freePort(): Promise<number> {
   const server = createServer().listen(0, "127.0.0.1");
@@ -21,16 +23,16 @@
   return port;
 }
 
-interface Running {
+interface EntryProcess {
   readonly child: ChildProcess;
   readonly file: string;
   readonly settings: Readonly<Record<string, unknown>>;
   readonly output: string[];
-  /** Status of the readiness address; 0 while nobody listens. */
+  /** HTTP status of the readiness endpoint; 0 while nothing listens. */
   readonly readiness: () => Promise<number>;
 }
 
-async function startEntry(store: KeyedStore): Promise<Running> {
+async function startEntry(store: KeyedStore): Promise<EntryProcess> {
   const [callers, readiness] = [await freePort(), await freePort()];
   const file = path.join(mkdtempSync(path.join(tmpdir(), "entry-")), "s.jsonc");
   const settings = {
@@ -43,7 +45,7 @@
     graceSeconds: 1,
   };
   writeFileSync(file, JSON.stringify(settings));
-  const child = spawn(process.execPath, [MAIN], {
+  const child = spawn(process.execPath, [MAIN_FILE], {
     env: { ...process.env, APRICOTDECK_BOOT: file },
     stdio: ["ignore", "pipe", "pipe"],
   });
@@ -66,7 +68,7 @@
   };
 }
 
-async function until(
+async function waitUntil(
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
   while (!(await condition())) {
@@ -76,35 +78,35 @@
   }
 }
 
-describe("process of the users' platform", () => {
-  it("reads its settings again on a signal, and goes on", async () => {
-    // The platform tells of changed settings by a signal that would end a
-    // process which doesn't handle it, with every request in it.
+describe("entry process on the platform", () => {
+  it("reloads its settings on SIGHUP and keeps running", async () => {
+    // The platform announces changed settings by SIGHUP, whose default action
+    // would end the process along with all its requests.
     await using store = await KeyedStore.create();
     const entry = await startEntry(store);
-    await until(async () => (await entry.readiness()) === 503);
+    await waitUntil(async () => (await entry.readiness()) === 503);
     writeFileSync(
       entry.file,
       JSON.stringify({ ...entry.settings, graceSeconds: 2, name: "other" }),
     );
     entry.child.kill("SIGHUP");
-    await until(() => entry.output.join("").includes('"changed":"name"'));
+    await waitUntil(() => entry.output.join("").includes('"changed":"name"'));
     writeFileSync(entry.file, "{ not settings");
     entry.child.kill("SIGHUP");
-    await until(() => entry.output.join("").includes("1002"));
+    await waitUntil(() => entry.output.join("").includes("1002"));
     assert.is(await entry.readiness(), 503);
     entry.child.kill("SIGTERM");
     const [code] = (await once(entry.child, "exit")) as [number | null];
     assert.is(code, 0);
   });
 
-  it("says which setting is wrong and ends", async () => {
+  it("exits with an error that names the invalid setting", async () => {
     await using store = await KeyedStore.create();
     const entry = await startEntry(store);
     entry.child.kill("SIGKILL");
     const incomplete = { ...entry.settings, callers: undefined };
     writeFileSync(entry.file, JSON.stringify(incomplete));
-    const child = spawn(process.execPath, [MAIN], {
+    const child = spawn(process.execPath, [MAIN_FILE], {
       env: { ...process.env, APRICOTDECK_BOOT: entry.file },
       stdio: ["ignore", "ignore", "pipe"],
     });
--- a/tests/platform/rank-port.test.ts
+++ b/tests/platform/rank-port.test.ts
@@ -11,10 +11,10 @@
   size: 4,
 });
 
-/** A time by which an answer or a failure has to be there, ms. */
-const SOON_MS = 400;
+/** Limit for a response or an error, ms. */
+const OUTCOME_LIMIT_MS = 400;
 
-async function runner(): Promise<{
+async function startRunner(): Promise<{
   readonly address: string;
   readonly close: () => Promise<void>;
 }> {
@@ -30,27 +30,28 @@
   };
 }
 
-describe("port of a rank", () => {
-  it("fails in time while a connection doesn't come about, and tries anew", async () => {
-    // The rank's VM is behind a cut: its opening packets are lost and sent again
-    // after seconds. The planner looks at all ranks together, so a look that
-    // waits for the connection keeps the maps of the whole group as they are;
-    // and the rank that is back has to be seen with the next look.
-    const { address, close } = await runner();
+describe("rank port", () => {
+  it("times out while no connection can be established, and reconnects afterwards", async () => {
+    // The rank's VM is behind a network partition: its SYN packets are lost and
+    // retransmitted only after seconds. The planner observes all ranks
+    // together, so an observation that waits for the connection would block map
+    // changes of the whole group. Once the partition ends, the next observation
+    // has to succeed.
+    const { address, close } = await startRunner();
     const connector = buildConnector({});
-    let isCut = true;
+    let isPartitioned = true;
     const port = createRankPort(
       address,
       (to) =>
         new Client(`http://${to}`, {
           connect: (options, done) => {
-            if (!isCut) connector(options, done);
+            if (!isPartitioned) connector(options, done);
           },
         }),
     );
-    assert.is(await outcomeWithin(port.observe(), SOON_MS), "failed");
-    assert.is(await outcomeWithin(port.observe(), SOON_MS), "failed");
-    isCut = false;
+    assert.is(await outcomeWithin(port.observe(), OUTCOME_LIMIT_MS), "failed");
+    assert.is(await outcomeWithin(port.observe(), OUTCOME_LIMIT_MS), "failed");
+    isPartitioned = false;
     const state = await port.observe();
     assert.is(state.epoch, 3);
     assert.is(state.isOpen, true);
--- a/tests/platform/record-findings.test.ts
+++ b/tests/platform/record-findings.test.ts
@@ -5,17 +5,17 @@
 } from "../../src/platform/record-findings.js";
 import { describe, it } from "../support/describe.js";
 
-class Told {
-  lines = 0;
-  counted = 0;
+class ReportedFindings {
+  eventCount = 0;
+  measuredCount = 0;
   readonly findings = RecordFindings.create({
     emit: () => {
-      this.lines += 1;
+      this.eventCount += 1;
     },
     measurements: {
       count: (_key, labels) => {
         assert.equal(labels, { topic: "things" });
-        this.counted += 1;
+        this.measuredCount += 1;
       },
       set: () => undefined,
       observe: () => undefined,
@@ -32,33 +32,34 @@
   }
 }
 
-describe("findings on records", () => {
-  it("are told and counted once for each key and content", () => {
-    const told = new Told();
-    for (const key of ["a", "a", "b"]) told.note(key);
-    told.note("a", "other");
-    told.note("a");
-    assert.equal([told.lines, told.counted], [3, 3]);
+describe("findings on unusable records", () => {
+  it("are logged and counted once for each key and content", () => {
+    const reported = new ReportedFindings();
+    for (const key of ["a", "a", "b"]) reported.note(key);
+    reported.note("a", "other");
+    reported.note("a");
+    assert.equal([reported.eventCount, reported.measuredCount], [3, 3]);
   });
 
-  it("are kept apart where key and content run together", () => {
-    const told = new Told();
-    told.note("a", "bc");
-    told.note("ab", "c");
-    assert.is(told.lines, 2);
+  it("are distinct when only the concatenation of key and content is equal", () => {
+    const reported = new ReportedFindings();
+    reported.note("a", "bc");
+    reported.note("ab", "c");
+    assert.is(reported.eventCount, 2);
   });
 
-  it("are remembered in a bounded number, the last seen longest", () => {
-    // Somebody writes ever new records. What is remembered of them must not
-    // grow with that, and one that stays in the topic isn't told anew for it.
-    const told = new Told();
-    told.note("stays");
-    for (let at = 0; at < 2 * MOST_REMEMBERED; at += 1) {
-      told.note(`passing ${at}`);
-      told.note("stays");
+  it("are remembered up to a limit, the least recently seen forgotten first", () => {
+    // New unusable records are written without end. Memory must stay bounded,
+    // and a record that remains in the topic must not be logged again because
+    // of the others.
+    const reported = new ReportedFindings();
+    reported.note("stays");
+    for (let index = 0; index < 2 * MOST_REMEMBERED; index += 1) {
+      reported.note(`passing ${index}`);
+      reported.note("stays");
     }
-    assert.is(told.lines, 2 * MOST_REMEMBERED + 1);
-    told.note("passing 0");
-    assert.is(told.lines, 2 * MOST_REMEMBERED + 2);
+    assert.is(reported.eventCount, 2 * MOST_REMEMBERED + 1);
+    reported.note("passing 0");
+    assert.is(reported.eventCount, 2 * MOST_REMEMBERED + 2);
   });
 });
--- a/tests/platform/lives.test.ts
+++ b/tests/platform/registration-start.test.ts
@@ -3,7 +3,7 @@
 import type { LifeStart } from "../../src/membership/life.js";
 import { describe, it } from "../support/describe.js";
 
-function startOf(fields: Readonly<Record<string, unknown>>): LifeStart {
+function decodeStart(fields: Readonly<Record<string, unknown>>): LifeStart {
   const value = Buffer.from(
     JSON.stringify({
       backend: "service",
@@ -21,17 +21,17 @@
 }
 
 describe("a registration", () => {
-  it("names the life of its runner", () => {
-    assert.is(startOf({ born: 1_790_000_000_123 }), 1_790_000_000_123);
+  it("contains the start time of its runner's incarnation", () => {
+    assert.is(decodeStart({ born: 1_790_000_000_123 }), 1_790_000_000_123);
   });
 
-  it("may come from a platform that doesn't tell lives apart", () => {
-    assert.is(startOf({}), undefined);
+  it("may lack a start time on platforms that don't distinguish incarnations", () => {
+    assert.is(decodeStart({}), undefined);
   });
 
-  it("with a start that is no whole number is malformed", () => {
+  it("is malformed when the start time isn't an integer", () => {
     for (const born of [1.5, "1790000000123", null, true]) {
-      assert.throws(() => startOf({ born }));
+      assert.throws(() => decodeStart({ born }));
     }
   });
 });
--- /dev/null
+++ b/tests/platform/response-completeness.test.ts
@@ -0,0 +1,280 @@
+/** Tests that a caller can tell a truncated response from a complete one. */
+import { connect } from "node:net";
+import * as assert from "uvu/assert";
+import { headerNames } from "../../platform/names.js";
+import {
+  answerRaw,
+  eventOf,
+  type Behaviour,
+} from "../../standins/signing-runner.js";
+import { describe, it } from "../support/describe.js";
+import { pause } from "../support/wait.js";
+import { CREDENTIAL, EntrySite } from "./entry-site.js";
+
+const OTHER_CODING = "transfer-encoding: identity\r\n";
+/**
+ * A tab after the coding: undici doesn't recognize it as chunked and reads up
+ * to the end of the connection.
+ */
+const CODING_WITH_TAB = "transfer-encoding: chunked\t\r\n";
+/** More than the socket buffers hold when the caller doesn't read. */
+const LATE_RESPONSE_BYTES = 12_000_000;
+/** By then the entry has received the response, ms. */
+const LATE_READ_DELAY_MS = 400;
+const EVENTS_STREAM = "content-type: text/event-stream\r\n";
+
+/** Sends an event every 10 ms until the connection is closed. */
+const streamEndlessly: Behaviour = async ({ request, signed }) => {
+  const { socket } = request;
+  answerRaw(EVENTS_STREAM, eventOf(1))({ request, signed });
+  for (let id = 2; !socket.destroyed; id += 1) {
+    socket.write(eventOf(id));
+    await pause(10);
+  }
+};
+
+interface LateReader {
+  /** Reads everything up to the end of the connection. */
+  readonly read: () => Promise<{
+    readonly bytes: number;
+    readonly isReset: boolean;
+  }>;
+}
+
+/**
+ * Sends a request, but reads nothing of the response until `read` is called.
+ */
+function callWithLateReader(address: string): LateReader {
+  const [host, port] = address.split(":");
+  const socket = connect({ host, port: Number(port), allowHalfOpen: true });
+  socket.pause();
+  const head = [
+    "GET /once/late HTTP/1.1",
+    "host: site.example",
+    `${headerNames.attemptId}: late`,
+    `${headerNames.credential}: ${CREDENTIAL}`,
+  ];
+  socket.write(`${head.join("\r\n")}\r\n\r\n`);
+  let bytes = 0;
+  socket.on("data", (chunk: Buffer) => {
+    bytes += chunk.length;
+  });
+  socket.pause();
+  return {
+    read: () =>
+      new Promise((resolve) => {
+        socket.once("error", () => {
+          resolve({ bytes, isReset: true });
+        });
+        socket.once("end", () => {
+          // When libuv finds data and a reset in the same poll, it reports the
+          // data and a regular end. A write then fails after a reset and
+          // succeeds after a regular end.
+          socket.write("\n", (error) => {
+            resolve({ bytes, isReset: error instanceof Error });
+            socket.destroy();
+          });
+        });
+        socket.resume();
+      }),
+  };
+}
+
+/** Resets the connection before the client can have read the response. */
+function resetImmediately(head: string, body: string): Behaviour {
+  return ({ request, signed }) => {
+    answerRaw(head, body)({ request, signed });
+    process.nextTick(() => {
+      request.socket.resetAndDestroy();
+    });
+  };
+}
+
+/**
+ * Answers the first request. On the second one, sends a late refusal of the
+ * first before the actual response.
+ */
+function refusePreviousRequestLate(): Behaviour {
+  let first: Readonly<Record<string, string>> | undefined;
+  return async ({ request: { socket }, response, signed }) => {
+    if (first === undefined) {
+      first = signed;
+      response.writeHead(200, signed).end("first");
+      return;
+    }
+    const fields = { ...first, [headerNames.notRun]: "1", "content-length": 0 };
+    const lines = Object.entries(fields).map(
+      ([name, value]) => `${name}: ${value}\r\n`,
+    );
+    socket.write(`HTTP/1.1 503 Full\r\n${lines.join("")}\r\n`);
+    await pause(20);
+    response.writeHead(200, signed).end("second");
+  };
+}
+
+describe("the end of a response", () => {
+  it("is counted by its framing", async () => {
+    // Callers see the same response either way. The metric tells operators how
+    // many responses ended without a verifiable end.
+    await using site = await EntrySite.createWithRunners(
+      answerRaw("content-length: 3\r\n", "all", "end"),
+    );
+    const [runner] = site.runners;
+    await site.call({ path: "/once/a" });
+    runner.behaviour = answerRaw("", "half of", "end");
+    await site.call({ path: "/once/a" });
+    const { metrics } = site.entry.addresses;
+    const text = await (await fetch(`http://${metrics}/metrics`)).text();
+    assert.match(text, /answers_passed_on_total\{.*end_mark="length".*\} 1/);
+    assert.match(
+      text,
+      /answers_passed_on_total\{.*end_mark="connection".*\} 1/,
+    );
+  });
+
+  describe("without length or chunks", () => {
+    it("stays without framing when another transfer coding is named", async () => {
+      // The runner names a transfer coding other than chunked, so only the end
+      // of the connection ends the response, and it dies inside the body. An
+      // entry that takes any transfer-encoding header for framing would add a
+      // content-length of its own and pass on half of the body as a complete
+      // response.
+      await using site = await EntrySite.createWithRunners(
+        answerRaw(OTHER_CODING, "half of", "end"),
+      );
+      const answer = await site.call({ path: "/once/a" });
+      assert.is(answer.status, 200);
+      assert.is(answer.headers["content-length"], undefined);
+      assert.is(answer.headers["transfer-encoding"], undefined);
+      assert.is(answer.headers.connection, "close");
+    });
+
+    it("stays without framing when a tab follows the coding", async () => {
+      // undici doesn't recognize a coding followed by a tab as chunked and
+      // reads up to the end of the connection, where the runner died. An entry
+      // that takes the same header for chunked framing would add a
+      // content-length to half of the body.
+      await using site = await EntrySite.createWithRunners(
+        answerRaw(CODING_WITH_TAB, "half of", "end"),
+      );
+      const answer = await site.call({ path: "/once/a" });
+      assert.is(answer.headers["content-length"], undefined);
+      assert.is(answer.headers["transfer-encoding"], undefined);
+    });
+
+    it("stays without framing in a stream with another transfer coding", async () => {
+      // In a stream, the entry would end its own chunked encoding after the
+      // last received event, as if the stream were complete.
+      await using site = await EntrySite.createWithRunners(
+        answerRaw(OTHER_CODING + EVENTS_STREAM, eventOf(1), "end"),
+      );
+      const answer = await site.call({ path: "/stream/a", method: "POST" });
+      assert.is(answer.body, eventOf(1));
+      assert.is(answer.headers["transfer-encoding"], undefined);
+      assert.is(answer.headers.connection, "close");
+    });
+  });
+
+  describe("that is known to be truncated", () => {
+    it("is a reset when nothing else would show it", async () => {
+      // The runner's connection is reset after the first event, and no other
+      // runner can resume the stream. Without length or chunks, closing the
+      // caller's connection in order would present the truncated stream as a
+      // complete one.
+      await using site = await EntrySite.createWithRunners(
+        answerRaw(EVENTS_STREAM, eventOf(1), "reset"),
+      );
+      const answer = await site.call({ path: "/stream/a", method: "POST" });
+      assert.is(answer.body, eventOf(1));
+      assert.not.ok(answer.isComplete);
+    });
+
+    it("is a reset that the caller can tell from a regular end", async () => {
+      // As above, with the reset right after the last event. When libuv finds
+      // data and a reset in the same poll, it reports the data and a regular
+      // end, so that the caller wouldn't see the reset.
+      await using site = await EntrySite.createWithRunners(
+        answerRaw(EVENTS_STREAM, `${eventOf(1)}id: 2\ndata: ha`, "end"),
+      );
+      const answer = await site.call({ path: "/stream/a", method: "POST" });
+      assert.is(answer.body, eventOf(1));
+      assert.not.ok(answer.isComplete);
+    });
+
+    it("is an error when the runner's reset arrives together with its data", async () => {
+      // The runner's connection is reset right after the body. When libuv finds
+      // data and a reset in the same poll, it reports the data and a regular
+      // end, here to the entry, which would pass on half of the body as a
+      // complete response.
+      await using site = await EntrySite.createWithRunners(
+        resetImmediately("", "half of"),
+      );
+      const answer = await site.call({ path: "/once/a", method: "POST" });
+      assert.is(answer.status, 504);
+      site.runners[0].behaviour = resetImmediately(EVENTS_STREAM, eventOf(1));
+      const stream = await site.call({ path: "/stream/a", method: "POST" });
+      assert.is(stream.body, eventOf(1));
+      assert.not.ok(stream.isComplete);
+    });
+
+    it("is a reset when the caller's deadline passes", async () => {
+      // The caller's deadline passes while the stream is running.
+      await using site = await EntrySite.createWithRunners(streamEndlessly);
+      const answer = await site.call({
+        path: "/stream/a",
+        method: "POST",
+        headers: { "apricotdeck-deadline-ms": "150" },
+      });
+      assert.is(answer.status, 200);
+      assert.not.ok(answer.isComplete);
+    });
+
+    it("is a reset when the entry stops before a slow caller has read everything", async () => {
+      // The caller reads slowly, so most of the response is still buffered in
+      // the entry when the entry stops. Closing the connection in order, since
+      // the request itself has ended, would present part of the body as a
+      // complete response.
+      const body = "a".repeat(LATE_RESPONSE_BYTES);
+      const site = await EntrySite.createWithRunners(
+        answerRaw("", body, "end"),
+      );
+      const caller = callWithLateReader(site.entry.addresses.callers);
+      await pause(LATE_READ_DELAY_MS);
+      await site[Symbol.asyncDispose]();
+      const { bytes, isReset } = await caller.read();
+      assert.ok(bytes >= LATE_RESPONSE_BYTES || isReset);
+    });
+
+    it("is a reset when the entry stops", async () => {
+      // The entry's grace period ends while the stream is running. When the
+      // process exits, the kernel closes the connection in order unless the
+      // entry resets it first.
+      const site = await EntrySite.createWithRunners(streamEndlessly);
+      const call = site.call({
+        path: "/stream/a",
+        method: "POST",
+        headers: { "apricotdeck-deadline-ms": "5000" },
+      });
+      await site.waitUntil(() => site.runners[0].arrivals.length === 1);
+      await pause(50);
+      await site[Symbol.asyncDispose]();
+      const answer = await call;
+      assert.is(answer.status, 200);
+      assert.not.ok(answer.isComplete);
+    });
+  });
+
+  it("of an earlier request isn't taken for that of a later one", async () => {
+    // The runner sends a late second response, a refusal, to the previous
+    // request on the same connection. If the attempt id weren't checked on
+    // refusals, the caller would be told "not run" and repeat a request that
+    // the runner is executing.
+    await using site = await EntrySite.createWithRunners(
+      refusePreviousRequestLate(),
+    );
+    await site.call({ path: "/once/a", method: "POST" });
+    const answer = await site.call({ path: "/once/b", method: "POST" });
+    assert.is(site.runners[0].arrivals.length, 2);
+    assert.not.ok([408, 421, 429, 503].includes(answer.status));
+  });
+});
--- a/tests/platform/store-pages.test.ts
+++ b/tests/platform/store-pages.test.ts
@@ -2,21 +2,21 @@
 import { createSeatService } from "../../platform/seats.js";
 import { StoreClient } from "../../platform/store.js";
 import type { KeyedPage } from "../../src/platform/keyed-topic.js";
-import { CannedAnswers } from "../support/canned-answers.js";
+import { CannedResponseServer } from "../support/canned-response-server.js";
 import { describe, it } from "../support/describe.js";
 
 const TOPIC = "keyed.things";
-const HEAD = Buffer.alloc(16);
+const PAGE_HEADER = Buffer.alloc(16);
 const signal = new AbortController().signal;
 
-function framed(record: Buffer): Buffer {
+function frameRecord(record: Buffer): Buffer {
   const length = Buffer.alloc(4);
   length.writeUInt32BE(record.length);
   return Buffer.concat([length, record]);
 }
 
-function keyed(key: string, value: string): Buffer {
-  return framed(
+function frameKeyedRecord(key: string, value: string): Buffer {
+  return frameRecord(
     Buffer.concat([Buffer.from([key.length]), Buffer.from(key + value)]),
   );
 }
@@ -31,25 +31,25 @@
 
 async function read(
   bodies: readonly (Buffer | string)[],
-  ask: "newest" | "changes",
+  request: "newest" | "changes",
 ): Promise<KeyedPage> {
-  await using store = await CannedAnswers.create((calls) => ({
-    body: bodies[Math.min(calls, bodies.length - 1)],
+  await using store = await CannedResponseServer.create((requestCount) => ({
+    body: bodies[Math.min(requestCount, bodies.length - 1)],
   }));
   await using client = StoreClient.create(store.address);
   const topic = client.keyedTopic(TOPIC);
-  return ask === "newest"
+  return request === "newest"
     ? await topic.newest(signal)
     : await topic.changes(3, 0, signal);
 }
 
-function contents({ records }: KeyedPage): string[] {
+function describeRecords({ records }: KeyedPage): string[] {
   return records.map(({ key, value }) => `${key}=${value?.toString() ?? "-"}`);
 }
 
-async function failureOf(reading: Promise<unknown>): Promise<string> {
+async function errorMessageOf(operation: Promise<unknown>): Promise<string> {
   try {
-    await reading;
+    await operation;
   } catch (error) {
     return error instanceof Error ? error.message : "not an error";
   }
@@ -58,58 +58,61 @@
 
 describe("pages of the store's keyed topics", () => {
   describe("of changes", () => {
-    it("pass over records without a whole key, and count them", async () => {
-      // Whoever may append to a topic frames its own records: one without any
-      // byte, and one whose key is said to be longer than the record.
+    it("skip records without a complete key and count them", async () => {
+      // Every writer frames its own records: here one record is empty, and the
+      // key length of another exceeds the record.
       const body = Buffer.concat([
-        HEAD,
-        keyed("a", "1"),
-        framed(Buffer.alloc(0)),
-        framed(Buffer.from([9, 0x62])),
-        keyed("c", "3"),
+        PAGE_HEADER,
+        frameKeyedRecord("a", "1"),
+        frameRecord(Buffer.alloc(0)),
+        frameRecord(Buffer.from([9, 0x62])),
+        frameKeyedRecord("c", "3"),
       ]);
       const page = await read([body], "changes");
-      assert.equal(contents(page), ["a=1", "c=3"]);
+      assert.equal(describeRecords(page), ["a=1", "c=3"]);
       assert.is(page.nextOffset, 7);
       assert.is(page.unreadable.length, 2);
     });
 
-    it("don't take a cut record for a whole one", async () => {
-      // The page ends inside its second record. Taken for whole, half of a
-      // value would stand for all of it, and the rest would never be read.
-      const second = keyed("b", "value");
+    it("don't take a truncated record for a complete one", async () => {
+      // The page ends inside its second record. Taken for complete, part of a
+      // value would be used as all of it, and the rest would never be read.
+      const second = frameKeyedRecord("b", "value");
       for (let kept = 1; kept < second.length; kept += 1) {
         const body = Buffer.concat([
-          HEAD,
-          keyed("a", "1"),
+          PAGE_HEADER,
+          frameKeyedRecord("a", "1"),
           second.subarray(0, kept),
         ]);
         const page = await read([body], "changes");
-        assert.equal(contents(page), ["a=1"], `${kept} bytes`);
+        assert.equal(describeRecords(page), ["a=1"], `${kept} bytes`);
         assert.is(page.nextOffset, 4);
       }
     });
 
-    it("fail when nothing in them can be read", async () => {
-      const cut = Buffer.concat([HEAD, keyed("a", "1").subarray(0, 5)]);
+    it("fail when they contain no readable record", async () => {
+      const cut = Buffer.concat([
+        PAGE_HEADER,
+        frameKeyedRecord("a", "1").subarray(0, 5),
+      ]);
       for (const body of [cut, Buffer.from("short")]) {
-        assert.match(await failureOf(read([body], "changes")), "1903");
+        assert.match(await errorMessageOf(read([body], "changes")), "1903");
       }
     });
 
-    it("aren't taken from an answer that is none", async () => {
-      await using store = await CannedAnswers.create(() => ({
+    it("are rejected when the status is an error", async () => {
+      await using store = await CannedResponseServer.create(() => ({
         status: 404,
-        body: Buffer.concat([HEAD, keyed("a", "1")]),
+        body: Buffer.concat([PAGE_HEADER, frameKeyedRecord("a", "1")]),
       }));
       await using client = StoreClient.create(store.address);
-      const reading = client.keyedTopic(TOPIC).changes(0, 0, signal);
-      assert.match(await failureOf(reading), "1901");
+      const operation = client.keyedTopic(TOPIC).changes(0, 0, signal);
+      assert.match(await errorMessageOf(operation), "1901");
     });
   });
 
   describe("of newest records", () => {
-    it("lose none of the others by one that can't be read", async () => {
+    it("keep all other records when one is unreadable", async () => {
       const page = await read(
         [
           newestBody([
@@ -124,31 +127,33 @@
         ],
         "newest",
       );
-      // What has a key and no bytes is there, and isn't taken for a removal.
-      assert.equal(contents(page), ["d=4", "b=", "a=1", "c=", "e=5"]);
+      // A record with a key but without a readable value exists; it must not
+      // count as a removal.
+      assert.equal(describeRecords(page), ["d=4", "b=", "a=1", "c=", "e=5"]);
       assert.is(page.unreadable.length, 2);
     });
 
-    it("go on behind a page whose last entry can't be read", async () => {
-      // The next page is asked for by the last key. A page that ends without
-      // one looked like the last; every key behind it was taken for removed.
+    it("continue after a page whose last entry is unreadable", async () => {
+      // The next page is requested by the last key. If a page whose last entry
+      // has no key were taken for the final one, all later keys would count as
+      // removed.
       const first = [{ key: "a", data: base64("1"), offset: 1 }, { offset: 9 }];
       const second = [{ key: "b", data: base64("2"), offset: 2 }];
       const page = await read(
         [newestBody(first, true), newestBody(second)],
         "newest",
       );
-      assert.equal(contents(page), ["a=1", "b=2"]);
+      assert.equal(describeRecords(page), ["a=1", "b=2"]);
     });
 
-    it("fail where the next page can't be asked for", async () => {
-      const reading = read([newestBody([null], true)], "newest");
-      assert.match(await failureOf(reading), "1903");
+    it("fail when the next page can't be requested", async () => {
+      const operation = read([newestBody([null], true)], "newest");
+      assert.match(await errorMessageOf(operation), "1903");
     });
 
-    it("fail when the answer itself can't be read", async () => {
+    it("fail when the response is unreadable", async () => {
       for (const body of ["", "{", "[]", '{"entries":{}}']) {
-        assert.match(await failureOf(read([body], "newest")), "1903");
+        assert.match(await errorMessageOf(read([body], "newest")), "1903");
       }
     });
   });
@@ -156,23 +161,29 @@
 
 describe("seats at the store", () => {
   async function join(body: string): Promise<boolean> {
-    await using store = await CannedAnswers.create(() => ({ body }));
+    await using store = await CannedResponseServer.create(() => ({ body }));
     await using client = StoreClient.create(store.address);
     const seats = createSeatService(client);
     return (await seats.join("group", "member", 0, 1000)).isHolder;
   }
 
-  it("are told by the row that names them, whatever stands beside", async () => {
-    const odd = [null, ["seats"], ["other", 0, 1], ["seats", "0", 1], {}];
-    const without = JSON.stringify({ generation: 3, parts: odd });
-    assert.not.ok(await join(without));
-    const rows = [...odd, ["seats", 0, 0]];
+  it("are read from the row that names them, despite malformed rows", async () => {
+    const malformedRows = [
+      null,
+      ["seats"],
+      ["other", 0, 1],
+      ["seats", "0", 1],
+      {},
+    ];
+    const withoutSeat = JSON.stringify({ generation: 3, parts: malformedRows });
+    assert.not.ok(await join(withoutSeat));
+    const rows = [...malformedRows, ["seats", 0, 0]];
     assert.ok(await join(JSON.stringify({ generation: 3, parts: rows })));
   });
 
-  it("aren't taken from an answer that can't be read", async () => {
+  it("aren't taken from an unreadable response", async () => {
     for (const body of ["", "{", '{"generation":"3","parts":[]}']) {
-      assert.match(await failureOf(join(body)), "1903");
+      assert.match(await errorMessageOf(join(body)), "1903");
     }
   });
 });
--- a/tests/platform/timeouts.test.ts
+++ b/tests/platform/timeouts.test.ts
@@ -8,51 +8,51 @@
 import { describe, it } from "../support/describe.js";
 import { outcomeWithin, type Outcome } from "../support/outcome.js";
 
-/** Enough for the code of a call to be optimized; 300 weren't, 1000 were. */
-const EARLIER_CALLS = 3000;
-const CALLS = 10;
-/** Several times the timeout of a call without a wait, ms. */
-const SOON_MS = 6000;
-const COLLECT_EVERY_MS = 100;
+/** Enough calls for V8 to optimize the code: 1000 were enough, 300 were not. */
+const EARLIER_CALL_COUNT = 3000;
+const CALL_COUNT = 10;
+/** Several times the timeout of a call that doesn't wait for records, ms. */
+const OUTCOME_LIMIT_MS = 6000;
+const COLLECTION_INTERVAL_MS = 100;
 
-/** How calls end while garbage is collected again and again. */
+/** Outcomes of calls while garbage is collected repeatedly. */
 async function outcomesOf(
   call: () => Promise<unknown>,
 ): Promise<readonly Outcome[]> {
-  const timer = setInterval(collectGarbage, COLLECT_EVERY_MS);
+  const timer = setInterval(collectGarbage, COLLECTION_INTERVAL_MS);
   try {
-    const calls = Array.from({ length: CALLS }, call);
+    const calls = Array.from({ length: CALL_COUNT }, call);
     return await Promise.all(
-      calls.map((ended) => outcomeWithin(ended, SOON_MS)),
+      calls.map((running) => outcomeWithin(running, OUTCOME_LIMIT_MS)),
     );
   } finally {
     clearInterval(timer);
   }
 }
 
-const ALL_FAILED = Array.from({ length: CALLS }, () => "failed");
+const ALL_FAILED = Array.from({ length: CALL_COUNT }, () => "failed");
 
-describe("a call on a connection that falls silent, long after the start", () => {
-  // A process has made some thousand calls, so that its code is optimized. Then
-  // its connection to the store falls silent. The call has a timeout, but only
-  // weak references led to it: it was collected as garbage and never came. An
-  // entry then followed the register no more, and callers' requests went to
-  // runners that had left, until its restart. Evidence: with 300 calls before,
-  // 20 of 20 ended in time, with 1000 none.
+describe("a call on a silent connection, in optimized code", () => {
+  // After some thousand calls the code of a call is optimized. Then the
+  // connection to the store falls silent. If only weak references lead to the
+  // call's timeout, it is collected as garbage and never fires: the entry stops
+  // following the register, and requests go to runners that have left until the
+  // entry restarts. With 300 earlier calls 20 of 20 calls timed out, with 1000
+  // none did.
 
-  it("to the platform's store is given up in time", async () => {
+  it("to the platform's store times out", async () => {
     await using store = await KeyedStore.create();
     store.put("keyed.things", "a", 1);
     await using client = StoreClient.create(store.address);
     const topic = client.keyedTopic("keyed.things");
     const { signal } = new AbortController();
     const call = (): Promise<unknown> => topic.changes(0, 0, signal);
-    for (let made = 0; made < EARLIER_CALLS; made += 1) await call();
+    for (let count = 0; count < EARLIER_CALL_COUNT; count += 1) await call();
     store.mood = "silent";
     assert.equal(await outcomesOf(call), ALL_FAILED);
   });
 
-  it("to the log service is given up in time", async () => {
+  it("to the log service times out", async () => {
     let isSilent = false;
     const page = { startOffset: 0, nextOffset: 0, records: [] };
     const server = createServer((request, response) => {
@@ -62,7 +62,7 @@
     await using service = await listen(server, { host: "127.0.0.1", port: 0 });
     const client = LogClient.create(`http://${service.address}`);
     const call = (): Promise<unknown> => client.read("stream", { from: 0 });
-    for (let made = 0; made < EARLIER_CALLS; made += 1) await call();
+    for (let count = 0; count < EARLIER_CALL_COUNT; count += 1) await call();
     isSilent = true;
     assert.equal(await outcomesOf(call), ALL_FAILED);
   });
--- a/tests/platform/topic-follower.test.ts
+++ b/tests/platform/topic-follower.test.ts
@@ -9,20 +9,23 @@
 import { describe, it } from "../support/describe.js";
 
 const TOPIC = "keyed.things";
-/** Many times as long as anything here takes, ms. */
-const LONGEST_WAIT_MS = 10_000;
+/** Many times as long as any step takes, ms. */
+const MAXIMUM_WAIT_MS = 10_000;
 
-class Following implements AsyncDisposable {
-  readonly seen = new Map<string, string | undefined>();
-  /** The topic as it stands: a snapshot tells what is gone, too. */
+class TopicObserver implements AsyncDisposable {
+  readonly received = new Map<string, string | undefined>();
+  /**
+   * Current records of the topic; a snapshot replaces them all, which shows
+   * removals, too.
+   */
   readonly newest = new Map<string, string>();
-  snapshots = 0;
-  returned = 0;
-  lost = 0;
-  restored = 0;
+  snapshotCount = 0;
+  rollbackCount = 0;
+  outageCount = 0;
+  recoveryCount = 0;
   lastFailedAtMs = 0;
-  /** The key of a record that fails whoever takes it in. */
-  poison: string | undefined;
+  /** Key of a record for which the handlers throw. */
+  failingKey: string | undefined;
   private readonly stop = new AbortController();
 
   private constructor(
@@ -31,21 +34,24 @@
   ) {}
 
   static async create(
-    fill: (store: KeyedStore) => void = () => undefined,
-    poison?: string,
-  ): Promise<Following> {
+    prepareStore: (store: KeyedStore) => void = () => undefined,
+    failingKey?: string,
+  ): Promise<TopicObserver> {
     const store = await KeyedStore.create();
-    fill(store);
-    const following = new Following(store, StoreClient.create(store.address));
-    following.poison = poison;
-    following.start();
-    return following;
+    prepareStore(store);
+    const observer = new TopicObserver(
+      store,
+      StoreClient.create(store.address),
+    );
+    observer.failingKey = failingKey;
+    observer.start();
+    return observer;
   }
 
-  async until(condition: () => boolean): Promise<void> {
-    const deadlineMs = performance.now() + LONGEST_WAIT_MS;
+  async waitUntil(condition: () => boolean): Promise<void> {
+    const deadlineMs = performance.now() + MAXIMUM_WAIT_MS;
     while (!condition()) {
-      assert.ok(performance.now() < deadlineMs, "waited in vain");
+      assert.ok(performance.now() < deadlineMs, "condition not met in time");
       await new Promise((resolve) => {
         setTimeout(resolve, 5);
       });
@@ -59,10 +65,11 @@
   }
 
   private start(): void {
-    const take = (records: readonly KeyedRecord[]): void => {
+    const applyRecords = (records: readonly KeyedRecord[]): void => {
       for (const { key, value } of records) {
-        if (key === this.poison) throw new TypeError(`can't take ${key}`);
-        this.seen.set(key, value?.toString());
+        if (key === this.failingKey)
+          throw new TypeError(`handler failed for key ${key}`);
+        this.received.set(key, value?.toString());
         if (value === undefined) this.newest.delete(key);
         else this.newest.set(key, value.toString());
       }
@@ -80,19 +87,19 @@
           measurements: ignoreMeasurements,
         }),
         onSnapshot: (records) => {
-          this.snapshots += 1;
+          this.snapshotCount += 1;
           this.newest.clear();
-          take(records);
+          applyRecords(records);
         },
-        onChanges: take,
+        onChanges: applyRecords,
         onReturned: () => {
-          this.returned += 1;
+          this.rollbackCount += 1;
         },
         onLost: () => {
-          this.lost += 1;
+          this.outageCount += 1;
         },
         onRestored: (lastFailedAtMs) => {
-          this.restored += 1;
+          this.recoveryCount += 1;
           this.lastFailedAtMs = lastFailedAtMs;
         },
       },
@@ -102,118 +109,120 @@
 }
 
 describe("follower of a keyed topic", () => {
-  it("sees what is written and what is dropped", async () => {
-    await using following = await Following.create();
-    following.store.put(TOPIC, "a", 1);
-    await following.until(() => following.seen.get("a") === "1");
-    following.store.put(TOPIC, "a", 2);
-    await following.until(() => following.seen.get("a") === "2");
-    following.store.drop(TOPIC, "a");
-    await following.until(() => following.seen.get("a") === undefined);
+  it("receives writes and removals", async () => {
+    await using observer = await TopicObserver.create();
+    observer.store.put(TOPIC, "a", 1);
+    await observer.waitUntil(() => observer.received.get("a") === "1");
+    observer.store.put(TOPIC, "a", 2);
+    await observer.waitUntil(() => observer.received.get("a") === "2");
+    observer.store.drop(TOPIC, "a");
+    await observer.waitUntil(() => observer.received.get("a") === undefined);
   });
 
-  it("reads everything anew when the history is forgotten", async () => {
-    // The store drops its history while a change is made: the follower's
-    // offset isn't there any more, and the newest records tell what it missed.
-    await using following = await Following.create();
-    await following.until(() => following.snapshots === 1);
-    following.store.mood = "refusing";
-    await following.until(() => following.lost === 1);
-    following.store.put(TOPIC, "a", 1);
-    following.store.put(TOPIC, "b", 2);
-    following.store.forgetHistory(TOPIC);
-    following.store.mood = "well";
-    await following.until(() => following.seen.get("b") === "2");
-    assert.is(following.snapshots, 2);
-    assert.is(following.restored, 1);
+  it("reads a snapshot when the history was discarded", async () => {
+    // The store discards its history while a record changes. The follower's
+    // offset no longer exists, and a snapshot of the newest records shows what
+    // it missed.
+    await using observer = await TopicObserver.create();
+    await observer.waitUntil(() => observer.snapshotCount === 1);
+    observer.store.mood = "refusing";
+    await observer.waitUntil(() => observer.outageCount === 1);
+    observer.store.put(TOPIC, "a", 1);
+    observer.store.put(TOPIC, "b", 2);
+    observer.store.forgetHistory(TOPIC);
+    observer.store.mood = "well";
+    await observer.waitUntil(() => observer.received.get("b") === "2");
+    assert.is(observer.snapshotCount, 2);
+    assert.is(observer.recoveryCount, 1);
   });
 
-  it("finds a connection that fell silent", async () => {
-    await using following = await Following.create();
-    await following.until(() => following.snapshots === 1);
-    following.store.mood = "silent";
-    await following.until(() => following.lost === 1);
-    following.store.mood = "well";
-    following.store.put(TOPIC, "a", 1);
-    await following.until(() => following.seen.get("a") === "1");
+  it("detects a silent connection", async () => {
+    await using observer = await TopicObserver.create();
+    await observer.waitUntil(() => observer.snapshotCount === 1);
+    observer.store.mood = "silent";
+    await observer.waitUntil(() => observer.outageCount === 1);
+    observer.store.mood = "well";
+    observer.store.put(TOPIC, "a", 1);
+    await observer.waitUntil(() => observer.received.get("a") === "1");
   });
 
-  it("misses nothing that took the offsets of lost records", async () => {
-    // The store loses its last records, and others have taken their offsets
-    // before the next reading, which succeeds: a removal among them is missed.
-    await using following = await Following.create((store) => {
+  it("misses no records that took the offsets of lost ones", async () => {
+    // The store loses its last records, and other records take their offsets
+    // before the next read, which succeeds and would miss a removal among them.
+    await using observer = await TopicObserver.create((store) => {
       for (const key of ["a", "b"]) store.put(TOPIC, key, 1);
     });
-    await following.until(() => following.seen.get("b") === "1");
-    const { store } = following;
+    await observer.waitUntil(() => observer.received.get("b") === "1");
+    const { store } = observer;
     const copy = store.copy();
     for (const key of ["c", "d", "e"]) store.put(TOPIC, key, 1);
-    await following.until(() => following.seen.get("e") === "1");
+    await observer.waitUntil(() => observer.received.get("e") === "1");
     store.mood = "refusing";
-    await following.until(() => following.lost === 1);
+    await observer.waitUntil(() => observer.outageCount === 1);
     store.returnFrom(copy);
     store.drop(TOPIC, "a");
     for (const key of ["f", "g", "h"]) store.put(TOPIC, key, 2);
     store.mood = "well";
-    await following.until(() => following.seen.get("h") === "2");
-    assert.is(following.newest.has("a"), false);
-    assert.is(following.newest.get("f"), "2");
+    await observer.waitUntil(() => observer.received.get("h") === "2");
+    assert.is(observer.newest.has("a"), false);
+    assert.is(observer.newest.get("f"), "2");
   });
 
-  it("reads everything anew when the store went back unseen", async () => {
-    // No call failed in between, so no outage shows that records were lost.
-    await using following = await Following.create((store) => {
+  it("reads a snapshot when the store was rolled back without an outage", async () => {
+    // No call fails in between, so no outage shows that records were lost.
+    await using observer = await TopicObserver.create((store) => {
       store.put(TOPIC, "a", 1);
     });
-    await following.until(() => following.snapshots === 1);
-    const copy = following.store.copy();
-    following.store.put(TOPIC, "a", 2);
-    await following.until(() => following.seen.get("a") === "2");
-    following.store.returnFrom(copy);
-    following.store.put(TOPIC, "b", 3);
-    await following.until(() => following.seen.get("b") === "3");
-    assert.equal([following.snapshots, following.returned], [2, 1]);
-    assert.is(following.newest.get("a"), "1");
+    await observer.waitUntil(() => observer.snapshotCount === 1);
+    const copy = observer.store.copy();
+    observer.store.put(TOPIC, "a", 2);
+    await observer.waitUntil(() => observer.received.get("a") === "2");
+    observer.store.returnFrom(copy);
+    observer.store.put(TOPIC, "b", 3);
+    await observer.waitUntil(() => observer.received.get("b") === "3");
+    assert.equal([observer.snapshotCount, observer.rollbackCount], [2, 1]);
+    assert.is(observer.newest.get("a"), "1");
   });
 
-  it("tells a time at which the store was still away", async () => {
-    // Whoever counts from the store's return counts from too late if it is the
-    // time of the first answer: a call that hangs is given up after a second,
-    // and the store may have been back for all of it.
-    await using following = await Following.create();
-    await following.until(() => following.snapshots === 1);
-    following.store.mood = "silent";
-    await following.until(() => following.lost === 1);
-    const { calls } = following.store;
+  it("reports a time at which the store was still unavailable", async () => {
+    // A call to a silent store times out only after a second, so the store may
+    // have been reachable long before the first successful call. Grace periods
+    // that start at the store's return need a time at which it was certainly
+    // still away.
+    await using observer = await TopicObserver.create();
+    await observer.waitUntil(() => observer.snapshotCount === 1);
+    observer.store.mood = "silent";
+    await observer.waitUntil(() => observer.outageCount === 1);
+    const { calls } = observer.store;
     const before = calls.get(paths.read);
-    await following.until(() => calls.get(paths.read) !== before);
+    await observer.waitUntil(() => calls.get(paths.read) !== before);
     const backAtMs = performance.now();
-    following.store.mood = "well";
-    await following.until(() => following.restored === 1);
-    assert.ok(following.lastFailedAtMs < backAtMs);
+    observer.store.mood = "well";
+    await observer.waitUntil(() => observer.recoveryCount === 1);
+    assert.ok(observer.lastFailedAtMs < backAtMs);
   });
 
-  describe("whose records fail whoever takes them in", () => {
-    it("loses only those, and no store", async () => {
-      // A fault of ours shows with one record. The page is read already, so
-      // what else it says would never be heard of again, and waiting as if the
-      // store were away would help nobody.
-      await using following = await Following.create();
-      await following.until(() => following.snapshots === 1);
-      following.poison = "b";
-      for (const key of ["a", "b", "c"]) following.store.put(TOPIC, key, 1);
-      await following.until(() => following.seen.get("c") === "1");
-      assert.is(following.seen.get("a"), "1");
-      assert.is(following.lost, 0);
+  describe("when a handler throws for a record", () => {
+    it("loses only that record and reports no outage", async () => {
+      // One record triggers a bug in a handler. The page has been read already,
+      // so its other records would be lost for good, and treating it as an
+      // outage of the store wouldn't help.
+      await using observer = await TopicObserver.create();
+      await observer.waitUntil(() => observer.snapshotCount === 1);
+      observer.failingKey = "b";
+      for (const key of ["a", "b", "c"]) observer.store.put(TOPIC, key, 1);
+      await observer.waitUntil(() => observer.received.get("c") === "1");
+      assert.is(observer.received.get("a"), "1");
+      assert.is(observer.outageCount, 0);
     });
 
-    it("takes in the rest of a first reading", async () => {
-      await using following = await Following.create((store) => {
+    it("applies the other records of the first snapshot", async () => {
+      await using observer = await TopicObserver.create((store) => {
         for (const key of ["a", "b", "c"]) store.put(TOPIC, key, 1);
       }, "b");
-      await following.until(() => following.seen.get("c") === "1");
-      assert.is(following.seen.get("a"), "1");
-      assert.equal([following.lost, following.snapshots], [0, 1]);
+      await observer.waitUntil(() => observer.received.get("c") === "1");
+      assert.is(observer.received.get("a"), "1");
+      assert.equal([observer.outageCount, observer.snapshotCount], [0, 1]);
     });
   });
 });
--- a/tests/platform/early-ends.test.ts
+++ b/tests/platform/truncated-responses.test.ts
@@ -8,10 +8,18 @@
 import { RunnerClient } from "../../src/daemon/agent/runner-client.js";
 import { LogClient } from "../../src/platform/log-client.js";
 import { readVmList, type Vm } from "../../src/platform/vm-list-client.js";
-import { cutWays, startCutServer, type CutWay } from "../support/cut-server.js";
+import {
+  truncations,
+  startTruncatingServer,
+  type Truncation,
+} from "../support/truncating-server.js";
 import { describe, it } from "../support/describe.js";
 
-const WHOLE: CutWay = { mark: "length", announcesClose: false, end: "close" };
+const COMPLETE: Truncation = {
+  framing: "length",
+  announcesClose: false,
+  end: "close",
+};
 const SIGNAL_MS = 5000;
 const PART_BYTES = 64;
 
@@ -19,7 +27,7 @@
   readonly name: string;
   readonly status?: number;
   readonly body: unknown;
-  /** Rejects, or resolves with undefined, where the answer isn't whole. */
+  /** Rejects, or resolves with undefined, when the response is truncated. */
   readonly read: (address: string) => Promise<unknown>;
 }
 
@@ -64,7 +72,7 @@
     read: (address) => withEngine(address, (client) => client.steps(0)),
   },
   {
-    name: "engine, weights held",
+    name: "engine, bytes of weights",
     body: { heldBytes: 123_456 },
     read: (address) =>
       withEngine(address, (client) =>
@@ -116,12 +124,12 @@
     read: (address) => createRankPort(address).observe(),
   },
   {
-    name: "runner, counts",
+    name: "runner, expert counts",
     body: { epoch: 1, counts: [1, 2, 3] },
     read: (address) => createRankPort(address).counts(),
   },
   {
-    name: "runner, lists of experts",
+    name: "runner, expert mapping",
     body: { mapping: { experts: [[1, 2], [3]] } },
     read: (address) => createRankPort(address).experts(),
   },
@@ -146,14 +154,26 @@
   },
 ];
 
-/** What the reader takes for an answer; undefined when it takes none. */
-async function takenOf(reader: Reader, way: CutWay, share: number) {
-  const { body: whole, status = 200, read } = reader;
-  const body = Buffer.isBuffer(whole)
-    ? whole
-    : Buffer.from(JSON.stringify(whole));
-  const sent = Math.floor(body.length * share);
-  await using server = await startCutServer({ status, body, sent, ...way });
+/**
+ * Result of reading a response that ends early; undefined when the reader
+ * rejects it.
+ */
+async function readTruncated(
+  reader: Reader,
+  truncation: Truncation,
+  sentShare: number,
+) {
+  const { body: completeBody, status = 200, read } = reader;
+  const body = Buffer.isBuffer(completeBody)
+    ? completeBody
+    : Buffer.from(JSON.stringify(completeBody));
+  const sentBytes = Math.floor(body.length * sentShare);
+  await using server = await startTruncatingServer({
+    status,
+    body,
+    sentBytes,
+    ...truncation,
+  });
   try {
     return await read(server.address);
   } catch {
@@ -161,22 +181,25 @@
   }
 }
 
-describe("an answer to a reader that ends early", () => {
-  // A reader goes on with a part as if it were all: weights that miss their
-  // end, a list without its last machines, a story without a process. The
-  // server ends inside its answer, and the connection closes in good order or
-  // is reset; with neither length nor chunks HTTP calls that an end.
+describe("a truncated response", () => {
+  // A reader that takes part of a response for all of it continues with
+  // truncated weights, a list without its last VMs or a status without some
+  // processes. The server ends inside its response, and the connection is
+  // closed or reset; without length or chunks, HTTP regards that as a regular
+  // end.
   for (const reader of readers) {
-    it(`is no answer to: ${reader.name}`, async () => {
-      assert.not.equal(await takenOf(reader, WHOLE, 1), undefined);
-      for (const share of [0, 0.5]) {
-        const taken = await Promise.all(
-          cutWays.map((way) => takenOf(reader, way, share)),
+    it(`is rejected by the reader: ${reader.name}`, async () => {
+      assert.not.equal(await readTruncated(reader, COMPLETE, 1), undefined);
+      for (const sentShare of [0, 0.5]) {
+        const results = await Promise.all(
+          truncations.map((truncation) =>
+            readTruncated(reader, truncation, sentShare),
+          ),
         );
         assert.equal(
-          taken,
-          cutWays.map(() => undefined),
-          `${share} of it`,
+          results,
+          truncations.map(() => undefined),
+          `sent share ${sentShare}`,
         );
       }
     });
--- a/tests/platform/vm-list.test.ts
+++ b/tests/platform/vm-list.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { readVmList } from "../../src/platform/vm-list-client.js";
-import { CannedAnswers } from "../support/canned-answers.js";
+import { CannedResponseServer } from "../support/canned-response-server.js";
 import { describe, it } from "../support/describe.js";
 
 const vm = {
@@ -13,16 +13,17 @@
 };
 
 async function namesOf(body: string): Promise<string[]> {
-  await using service = await CannedAnswers.create(() => ({ body }));
+  await using service = await CannedResponseServer.create(() => ({ body }));
   const vms = await readVmList(`http://${service.address}`);
   return vms.map(({ name }) => name);
 }
 
 describe("list of VMs", () => {
-  it("loses none of the others by one that can't be read", async () => {
-    // A newer release of the platform lists a VM of another role. Refused with
-    // it, the whole list would stay as it was: no new backend server is found.
-    const odd = [
+  it("keeps all other VMs when one is unreadable", async () => {
+    // A newer release of the platform lists a VM with a role that this one
+    // doesn't know. If that made the whole list invalid, new backend servers
+    // would not be discovered.
+    const invalidVms = [
       null,
       {},
       { ...vm, role: "relay" },
@@ -31,11 +32,11 @@
       { ...vm, address: "10.0.0.1" },
       { ...vm, name: "" },
     ];
-    const vms = [vm, ...odd, { ...vm, name: "vm-2" }];
+    const vms = [vm, ...invalidVms, { ...vm, name: "vm-2" }];
     assert.equal(await namesOf(JSON.stringify({ vms })), ["vm-1", "vm-2"]);
   });
 
-  it("isn't taken from an answer that can't be read", async () => {
+  it("isn't taken from an unreadable response", async () => {
     for (const body of ["{", "[]", '{"vms":{}}']) {
       let message = "none";
       try {
--- a/tests/shared.test.ts
+++ b/tests/shared.test.ts
@@ -11,7 +11,7 @@
 
 describe("hybrid clock", () => {
   describe("when a message arrives from a process whose clock is ahead", () => {
-    it("reads later than the message", () => {
+    it("returns a later reading than the message's", () => {
       const clock = HybridClock.create(() => 1000);
       const sent = { physicalMs: 5000, counter: 7 };
       assert.ok(compareReadings(clock.observe(sent), sent) > 0);
@@ -24,7 +24,7 @@
     });
   });
 
-  it("rises with every reading although the wall clock stands", () => {
+  it("advances with every reading while the wall clock stands still", () => {
     const clock = HybridClock.create(() => 1000);
     const first = clock.read();
     assert.ok(compareReadings(clock.read(), first) > 0);
@@ -32,17 +32,17 @@
 });
 
 describe("random numbers", () => {
-  it("repeat from the same seed", () => {
-    const draw = (): number[] => {
+  it("are the same for the same seed", () => {
+    const drawThree = (): number[] => {
       const random = createRandom(9);
       return [random(), random(), random()];
     };
-    assert.equal(draw(), draw());
+    assert.equal(drawThree(), drawThree());
   });
 });
 
-describe("numbered tables", () => {
-  it("give every error and every event a name of its own", () => {
+describe("tables of errors and events", () => {
+  it("give every entry a unique name", () => {
     for (const table of [errorTable, eventTable]) {
       const entries: readonly { readonly name: string }[] =
         Object.values(table);
--- a/tests/support/canned-answers.ts
+++ b/tests/support/canned-response-server.ts
@@ -1,30 +1,30 @@
-/** A service that gives one answer to every call. */
+/** HTTP server that sends canned responses. */
 import { createServer } from "node:http";
 import { listen, type Listening } from "../../src/daemon/listening.js";
 
-export interface CannedAnswer {
+export interface CannedResponse {
   readonly status?: number;
   readonly body: Buffer | string;
 }
 
-export class CannedAnswers implements AsyncDisposable {
+export class CannedResponseServer implements AsyncDisposable {
   private constructor(private readonly listening: Listening) {}
 
-  /** `answer` is asked with the number of calls before. */
+  /** `respond` receives the number of earlier requests. */
   static async create(
-    answer: (calls: number) => CannedAnswer,
-  ): Promise<CannedAnswers> {
-    let calls = 0;
+    respond: (requestCount: number) => CannedResponse,
+  ): Promise<CannedResponseServer> {
+    let requestCount = 0;
     const server = createServer((_request, response) => {
-      const { status = 200, body } = answer(calls);
-      calls += 1;
+      const { status = 200, body } = respond(requestCount);
+      requestCount += 1;
       response.writeHead(status).end(body);
     });
     const listening = await listen(server, { host: "127.0.0.1", port: 0 });
-    return new CannedAnswers(listening);
+    return new CannedResponseServer(listening);
   }
 
-  /** host:port */
+  /** Address in the form `host:port`. */
   get address(): string {
     return this.listening.address;
   }
--- a/tests/support/collect-garbage.ts
+++ b/tests/support/collect-garbage.ts
@@ -1,4 +1,7 @@
-/** Collects garbage at once, as a process does by itself now and then. */
+/**
+ * Runs a full garbage collection synchronously, without starting the process
+ * with `--expose-gc`.
+ */
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 
--- a/tests/support/describe.ts
+++ b/tests/support/describe.ts
@@ -1,4 +1,4 @@
-/** Nested `describe` blocks over uvu's suites, which have none. */
+/** Nested `describe` blocks on top of uvu, whose suites can't be nested. */
 import { suite } from "uvu";
 
 type Body = () => void | Promise<void>;
@@ -8,21 +8,22 @@
   readonly tests: { readonly name: string; readonly body: Body }[];
 }
 
-const open: Block[] = [];
+const openBlocks: Block[] = [];
 
 export function describe(name: string, body: () => void): void {
-  const parent = open.at(-1);
+  const parent = openBlocks.at(-1);
   const fullName = parent === undefined ? name : `${parent.name} > ${name}`;
   const block: Block = { name: fullName, tests: [] };
-  open.push(block);
+  openBlocks.push(block);
   body();
-  open.pop();
+  openBlocks.pop();
   if (block.tests.length > 0) runBlock(block);
 }
 
 export function it(name: string, body: Body): void {
-  const block = open.at(-1);
-  if (block === undefined) throw new TypeError(`${name}: outside a describe`);
+  const block = openBlocks.at(-1);
+  if (block === undefined)
+    throw new TypeError(`${name}: it() was called outside a describe() block`);
   block.tests.push({ name, body });
 }
 
--- a/tests/support/foreign-records.ts
+++ b/tests/support/foreign-records.ts
@@ -1,6 +1,9 @@
-/** Records of a register that name no runner to use, one of each kind. */
+/**
+ * Register records that don't describe a usable runner, one for each way of
+ * being malformed.
+ */
 
-/** A registration with every field in order. */
+/** Fields of a valid registration. */
 export type Registration = Readonly<Record<string, unknown>>;
 
 export interface ForeignRecord {
@@ -9,9 +12,9 @@
   readonly value: Buffer;
 }
 
-const LONGEST_KEY = 255;
+const MAXIMUM_KEY_BYTES = 255;
 
-const otherTypes: Registration = {
+const valuesOfWrongType: Registration = {
   backend: 7,
   address: ["10.0.0.1:80"],
   zone: null,
@@ -22,7 +25,7 @@
   sequence: "12",
 };
 
-const addresses = [
+const invalidAddresses = [
   "",
   "host",
   "host:",
@@ -37,64 +40,76 @@
   "10.0.0.1:80\r\nx: y",
 ];
 
-function json(value: unknown): Buffer {
+function toJson(value: unknown): Buffer {
   return Buffer.from(JSON.stringify(value));
 }
 
-function without(good: Registration, field: string): Registration {
+function omitField(valid: Registration, field: string): Registration {
   return Object.fromEntries(
-    Object.entries(good).filter(([name]) => name !== field),
+    Object.entries(valid).filter(([name]) => name !== field),
   );
 }
 
-/** Each under a key of its own; `good` is what they differ from. */
-export function foreignRecords(good: Registration): readonly ForeignRecord[] {
-  const whole = json(good);
+/**
+ * Returns one unusable record per defect, each under its own key; `valid` is
+ * the registration from which they are derived.
+ */
+export function foreignRecords(valid: Registration): readonly ForeignRecord[] {
+  const validValue = toJson(valid);
   const values: readonly (readonly [kind: string, value: Buffer])[] = [
-    ["bytes that are no text", Buffer.from([0xff, 0x00, 0x80, 0xfe])],
+    ["bytes that are not UTF-8", Buffer.from([0xff, 0x00, 0x80, 0xfe])],
     ["one byte", Buffer.from([0])],
-    ["text that is no JSON", Buffer.from("{")],
-    ["JSON that is cut", whole.subarray(0, -1)],
-    ["no valid text inside of JSON", replaceZone(good)],
-    ["a list", json([good])],
-    ["null", json(null)],
-    ["a number", json(17)],
-    ["no field at all", json({})],
-    ["an unknown state", json({ ...good, state: "resting" })],
-    ["another case of a state", json({ ...good, state: "Ready" })],
-    ["no slot", json({ ...good, slots: 0 })],
-    ["fewer than no slots", json({ ...good, slots: -4 })],
-    ["half a slot", json({ ...good, slots: 0.5 })],
-    ["half a heartbeat", json({ ...good, sequence: 1.5 })],
-    ...Object.keys(otherTypes).map(
-      (field) => [`no ${field}`, json(without(good, field))] as const,
+    ["text that is not JSON", Buffer.from("{")],
+    ["truncated JSON", validValue.subarray(0, -1)],
+    ["JSON that contains invalid UTF-8", withInvalidUtf8Zone(valid)],
+    ["an array", toJson([valid])],
+    ["null", toJson(null)],
+    ["a number", toJson(17)],
+    ["no fields", toJson({})],
+    ["an unknown state", toJson({ ...valid, state: "resting" })],
+    ["a state in the wrong case", toJson({ ...valid, state: "Ready" })],
+    ["zero slots", toJson({ ...valid, slots: 0 })],
+    ["a negative number of slots", toJson({ ...valid, slots: -4 })],
+    ["a fractional number of slots", toJson({ ...valid, slots: 0.5 })],
+    ["a fractional heartbeat", toJson({ ...valid, sequence: 1.5 })],
+    ...Object.keys(valuesOfWrongType).map(
+      (field) =>
+        [`a missing ${field}`, toJson(omitField(valid, field))] as const,
     ),
-    ...Object.entries(otherTypes).map(
+    ...Object.entries(valuesOfWrongType).map(
       ([field, value]) =>
         [
-          `another type of ${field}`,
-          json({ ...good, [field]: value }),
+          `the wrong type of ${field}`,
+          toJson({ ...valid, [field]: value }),
         ] as const,
     ),
-    ...addresses.map(
+    ...invalidAddresses.map(
       (address) =>
         [
           `address ${JSON.stringify(address)}`,
-          json({ ...good, address }),
+          toJson({ ...valid, address }),
         ] as const,
     ),
   ];
   return [
-    ...values.map(([kind, value], at) => ({ kind, key: `f${at}`, value })),
-    { kind: "an empty key", key: "", value: whole },
-    { kind: "a huge key", key: "k".repeat(LONGEST_KEY), value: whole },
-    { kind: "a key of two lines", key: "r1\r\nx: y", value: whole },
-    { kind: "a key with blanks", key: "r 1", value: whole },
+    ...values.map(([kind, value], index) => ({
+      kind,
+      key: `f${index}`,
+      value,
+    })),
+    { kind: "an empty key", key: "", value: validValue },
+    {
+      kind: "a key of maximum length",
+      key: "k".repeat(MAXIMUM_KEY_BYTES),
+      value: validValue,
+    },
+    { kind: "a key with a line break", key: "r1\r\nx: y", value: validValue },
+    { kind: "a key with a space", key: "r 1", value: validValue },
   ];
 }
 
-function replaceZone(good: Registration): Buffer {
-  const text = JSON.stringify({ ...good, zone: "?zone?" });
+function withInvalidUtf8Zone(valid: Registration): Buffer {
+  const text = JSON.stringify({ ...valid, zone: "?zone?" });
   const bytes = Buffer.from(text);
   bytes[bytes.indexOf("?zone?")] = 0xff;
   return bytes;
--- a/tests/support/fuzz.ts
+++ b/tests/support/fuzz.ts
@@ -1,4 +1,7 @@
-/** Cases that every fuzz target has to pass: clean, and able to fail. */
+/**
+ * Test cases that every fuzz target has to pass: it finds no violation in the
+ * current code, and finds one when a safeguard is switched off.
+ */
 import * as assert from "uvu/assert";
 import type { FuzzTarget } from "../../fuzz/target.js";
 import { describe, it } from "./describe.js";
@@ -18,7 +21,7 @@
     });
 
     for (const [mutation, histories] of Object.entries(target.mutations)) {
-      it(`notices within ${histories} histories without ${mutation}`, async () => {
+      it(`finds a violation within ${histories} histories of mutation ${mutation}`, async () => {
         const result = await target.run({ seed, runs: histories, mutation });
         assert.is(result.violations, 1);
       });
--- a/tests/support/http-call.ts
+++ b/tests/support/http-call.ts
@@ -1,21 +1,27 @@
-/** One call over a connection of its own, with all that its caller sees. */
-import { request as send } from "node:http";
+/**
+ * Sends one HTTP request over its own connection and returns all that the
+ * caller observes.
+ */
+import { request as sendRequest } from "node:http";
 
 export interface SeenAnswer {
   readonly status: number;
   readonly headers: Readonly<NodeJS.Dict<string | string[]>>;
   readonly body: string;
-  /** How the connection ended under the answer; undefined when in order. */
+  /**
+   * Error that ended the connection during the response; undefined when it
+   * ended without one.
+   */
   readonly fault: string | undefined;
 }
 
 export interface HttpCall {
-  /** host:port */
+  /** Address in the form `host:port`. */
   readonly address: string;
   readonly path: string;
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** The first bytes of the answer's body have come. */
+  /** Called when the first bytes of the body arrive. */
   readonly onFirstPart?: (() => void) | undefined;
 }
 
@@ -23,27 +29,34 @@
   const { address, path, method = "GET", headers = {}, onFirstPart } = call;
   const [host, port] = address.split(":");
   return new Promise((resolve, reject) => {
-    const request = send({ host, port, path, method, headers, agent: false });
+    const request = sendRequest({
+      host,
+      port,
+      path,
+      method,
+      headers,
+      agent: false,
+    });
     request.on("error", reject);
     request.once("response", (response) => {
-      const parts: Buffer[] = [];
+      const chunks: Buffer[] = [];
       let fault: string | undefined;
-      // A reset within an answer without length or chunks is told by the
-      // request only; the answer seems to have come to its end.
+      // For a response without length or chunks, Node.js reports a reset only
+      // on the request; the response seems to be complete.
       request.off("error", reject).on("error", (error) => {
         fault = (error as NodeJS.ErrnoException).code ?? error.message;
       });
-      response.on("data", (part: Buffer) => {
-        if (parts.length === 0) onFirstPart?.();
-        parts.push(part);
+      response.on("data", (chunk: Buffer) => {
+        if (chunks.length === 0) onFirstPart?.();
+        chunks.push(chunk);
       });
       response.on("error", (error: NodeJS.ErrnoException) => {
         fault = error.code ?? error.message;
       });
       response.once("close", () => {
-        const { statusCode: status = 0, headers: seen } = response;
-        const body = Buffer.concat(parts).toString();
-        resolve({ status, headers: seen, body, fault });
+        const { statusCode: status = 0, headers: responseHeaders } = response;
+        const body = Buffer.concat(chunks).toString();
+        resolve({ status, headers: responseHeaders, body, fault });
       });
     });
     request.end();
--- a/tests/support/outcome.ts
+++ b/tests/support/outcome.ts
@@ -1,21 +1,21 @@
-/** Whether work ends in time, and how. */
+/** Tells whether an operation succeeds, fails or exceeds a time limit. */
 
 export type Outcome = "answered" | "failed" | "late";
 
-/** `withinMs`: from now on. */
+/** The time limit starts with the call. */
 export async function outcomeWithin(
-  work: Promise<unknown>,
-  withinMs: number,
+  operation: Promise<unknown>,
+  timeoutMs: number,
 ): Promise<Outcome> {
   let timer: NodeJS.Timeout | undefined;
   const late = new Promise<Outcome>((resolve) => {
-    timer = setTimeout(resolve, withinMs, "late");
+    timer = setTimeout(resolve, timeoutMs, "late");
   });
-  const done = work.then(
+  const settled = operation.then(
     () => "answered" as const,
     () => "failed" as const,
   );
-  const first = await Promise.race([done, late]);
+  const outcome = await Promise.race([settled, late]);
   clearTimeout(timer);
-  return first;
+  return outcome;
 }
--- a/tests/support/raw-call.ts
+++ b/tests/support/raw-call.ts
@@ -1,4 +1,4 @@
-/** Sends bytes as they are, to show what a hostile caller gets back. */
+/** Sends raw bytes to a server, to test its reaction to malformed requests. */
 import { connect } from "node:net";
 
 export interface RawAnswer {
@@ -6,7 +6,7 @@
   readonly text: string;
 }
 
-/** Resolves when the server closes, or when an answer has come. */
+/** Resolves with all that was received once the connection is closed. */
 export function sendRaw(
   address: string,
   parts: readonly string[],
--- a/tests/support/wait.ts
+++ b/tests/support/wait.ts
@@ -1,6 +1,6 @@
-/** Waits of tests that run over sockets, and of those with real timers. */
-const POLL_MS = 10;
-const LONGEST_WAIT_MS = 10_000;
+/** Real-time waits for tests that use sockets or timers. */
+const POLL_INTERVAL_MS = 10;
+const MAXIMUM_WAIT_MS = 10_000;
 
 export function pause(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
@@ -9,9 +9,10 @@
 }
 
 export async function waitFor(condition: () => boolean): Promise<void> {
-  const deadline = Date.now() + LONGEST_WAIT_MS;
+  const deadline = Date.now() + MAXIMUM_WAIT_MS;
   while (!condition()) {
-    if (Date.now() > deadline) throw new TypeError("waited in vain");
-    await pause(POLL_MS);
+    if (Date.now() > deadline)
+      throw new TypeError("the condition was not met within 10 s");
+    await pause(POLL_INTERVAL_MS);
   }
 }
