--- a/measure/admission.ts
+++ b/measure/admission.ts
@@ -1,8 +1,7 @@
 /**
  * `npm run measure -- admission [--seed N] [--seconds N] [--only SCENARIO]
- * [--sweep]`:
- * admission, fairness, refusals and retries under load, judged by callers,
- * against a plain queue.
+ * [--sweep]`: goodput, fairness, refusals and retries under load as callers see
+ * them, compared with a plain queue.
  */
 import { parseArgs } from "node:util";
 import { createRandom } from "../src/internal.js";
@@ -19,12 +18,12 @@
   type Entry,
   type Outcome,
 } from "./support/entries.js";
-import { judge, type AdmissionResult } from "./support/judge.js";
+import { evaluateCalls, type AdmissionResult } from "./support/judge.js";
 import { Site, type SiteSettings } from "./support/site.js";
 import { printTable, type Row } from "./support/summary.js";
-import { drawCalls, entryOf, type Call } from "./support/workload.js";
+import { generateCalls, pickEntry, type Call } from "./support/workload.js";
 
-const SITE: Omit<SiteSettings, "seed"> = {
+const SITE_DEFAULTS: Omit<SiteSettings, "seed"> = {
   runners: 12,
   slots: 8,
   entries: 3,
@@ -36,9 +35,9 @@
   cacheBlocks: 400,
   queueShare: 0.5,
 };
-/** Until then the queues fill. */
+/** Excluded from the results, as the queues are still filling. */
 const WARM_UP_MS = 10_000;
-const CLIENT_PAUSE_MS = 1000;
+const CLIENT_RETRY_DELAY_MS = 1000;
 
 export function runAdmission(
   scenario: AdmissionScenario,
@@ -46,64 +45,75 @@
   seed: number,
   durationMs: number,
 ): AdmissionResult {
-  const site = Site.create({ ...SITE, ...scenario.settings, seed });
+  const site = Site.create({ ...SITE_DEFAULTS, ...scenario.settings, seed });
   const { entries, runners, slots } = site.settings;
-  const takers = Array.from({ length: entries }, (_, i) =>
-    createEntry(site, i),
+  const entryModels = Array.from({ length: entries }, (_, index) =>
+    createEntry(site, index),
   );
   const streams = scaledStreams(scenario, runners * slots);
-  const calls = drawCalls(streams, durationMs, createRandom(seed));
+  const calls = generateCalls(streams, durationMs, createRandom(seed));
   const outcomes: Outcome[] = [];
   const balancer = createRandom(seed + 1);
-  const repeats = scenario.clientRepeats ?? 0;
+  const retries = scenario.clientRetries ?? 0;
   for (const call of calls) {
-    site.time.after(call.atMs, () => {
-      callUntilAnswered(site, takers, balancer, call, repeats, outcomes);
+    site.clock.schedule(call.atMs, () => {
+      callWithRetries(site, entryModels, balancer, call, retries, outcomes);
     });
   }
-  scenario.faults?.(site);
-  site.time.run(durationMs);
-  return judge(outcomes, calls, site, { fromMs: WARM_UP_MS, toMs: durationMs });
+  scenario.injectFaults?.(site);
+  site.clock.runUntil(durationMs);
+  return evaluateCalls(outcomes, calls, site, {
+    fromMs: WARM_UP_MS,
+    toMs: durationMs,
+  });
 }
 
-/** A client that comes back when it was told to. */
-function callUntilAnswered(
+/** Makes a call and retries it after the delay that the outcome names. */
+function callWithRetries(
   site: Site,
-  takers: readonly Entry[],
+  entryModels: readonly Entry[],
   balancer: () => number,
   call: Call,
-  repeats: number,
+  retries: number,
   outcomes: Outcome[],
 ): void {
-  const taker = takers[entryOf(balancer, takers.length)];
-  taker.onCall(call, (outcome) => {
+  const entry = entryModels[pickEntry(balancer, entryModels.length)];
+  entry.onCall(call, (outcome) => {
     outcomes.push(outcome);
-    const isGood = outcome.kind === "answered" || outcome.kind === "late";
-    if (isGood || repeats === 0) return;
-    const pauseMs = outcome.retryAfterMs || CLIENT_PAUSE_MS;
-    site.time.after(pauseMs, () => {
-      const again = { ...call, id: `${call.id}+`, atMs: site.time.nowMs };
-      callUntilAnswered(site, takers, balancer, again, repeats - 1, outcomes);
+    const isAnswered = outcome.kind === "answered" || outcome.kind === "late";
+    if (isAnswered || retries === 0) return;
+    const retryDelayMs = outcome.retryAfterMs || CLIENT_RETRY_DELAY_MS;
+    site.clock.schedule(retryDelayMs, () => {
+      const retryCall = { ...call, id: `${call.id}+`, atMs: site.clock.nowMs };
+      callWithRetries(
+        site,
+        entryModels,
+        balancer,
+        retryCall,
+        retries - 1,
+        outcomes,
+      );
     });
   });
 }
 
-const ENTRIES: Readonly<Record<string, CreateEntry>> = {
+const ENTRY_POLICIES: Readonly<Record<string, CreateEntry>> = {
   "plain queue": createPlainEntry,
   ours: createAdmittedEntry,
 };
 
-/** `--sweep`: the figures behind the constants. */
-function sweep(): Readonly<Record<string, CreateEntry>> {
-  const entries: Record<string, CreateEntry> = {};
+/** Entries with each combination of the tuned constants, for `--sweep`. */
+function sweepPolicies(): Readonly<Record<string, CreateEntry>> {
+  const policies: Record<string, CreateEntry> = {};
   for (const waitShare of [0.25, 0.5, 0.75]) {
     for (const serviceMargin of [1, 2, 3]) {
       const name = `wait ${waitShare}, margin ${serviceMargin}`;
       const tuning = { waitShare, serviceMargin };
-      entries[name] = (site, entry) => createAdmittedEntry(site, entry, tuning);
+      policies[name] = (site, entry) =>
+        createAdmittedEntry(site, entry, tuning);
     }
   }
-  return entries;
+  return policies;
 }
 
 export function measureAdmission(options: readonly string[]): Promise<void> {
@@ -118,13 +128,13 @@
   });
   const seed = Number(values.seed);
   const durationMs = Number(values.seconds) * 1000;
-  const entries = values.sweep ? sweep() : ENTRIES;
+  const policies = values.sweep ? sweepPolicies() : ENTRY_POLICIES;
   const summary: Record<string, Record<string, AdmissionResult>> = {};
   for (const scenario of ADMISSION_SCENARIOS) {
     if (!scenario.name.includes(values.only)) continue;
     const rows: Row[] = [];
     const results: Record<string, AdmissionResult> = {};
-    for (const [policy, createEntry] of Object.entries(entries)) {
+    for (const [policy, createEntry] of Object.entries(policies)) {
       const result = runAdmission(scenario, createEntry, seed, durationMs);
       results[policy] = result;
       rows.push({ policy, ...result });
--- a/measure/claims.ts
+++ b/measure/claims.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure -- claims [--seconds N]`: appends to the log and time to a
- * claim against the rate of calls and the number of entries, over real sockets
- * to the log stand-in. The baseline is one append for each claim.
+ * `npm run measure -- claims [--seconds N]`: log appends and time until a claim
+ * is won, by call rate and number of entries, over real sockets to the log
+ * stand-in. The baseline is one append for each claim.
  */
 import { parseArgs } from "node:util";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -16,45 +16,45 @@
 const ENTRY_COUNTS = [1, 3, 6];
 const CALL_RATES = [50, 200, 800];
 const APPENDS_PER_SECOND = 50;
-const SLOT_MS = 5;
-const WAIT_MS = 2_000;
-const MICROSECONDS = 1000;
+const SEND_INTERVAL_MS = 5;
+const CLAIM_TIMEOUT_MS = 2_000;
+const MICROSECONDS_PER_MS = 1000;
 
-interface Row {
+interface ClaimsRow {
   readonly entries: number;
   readonly callsPerSecond: number;
   readonly claimed: number;
   readonly refused: number;
   readonly appendsPerSecond: number;
-  /** What one append for each claim would have taken. */
+  /** Append rate if each claim were appended on its own. */
   readonly baselineAppendsPerSecond: number;
   readonly readsPerSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
-export async function measure(args: readonly string[]): Promise<void> {
+export async function measureClaims(args: readonly string[]): Promise<void> {
   const { values } = parseArgs({
     args: [...args],
     options: { seconds: { type: "string", default: "3" } },
   });
   const seconds = Number(values.seconds);
-  const rows: Row[] = [];
+  const rows: ClaimsRow[] = [];
   for (const entries of ENTRY_COUNTS) {
     for (const rate of CALL_RATES) {
-      const row = await measureOne(entries, rate, seconds);
+      const row = await measureCase(entries, rate, seconds);
       rows.push(row);
-      console.log(describe(row));
+      console.log(formatRow(row));
     }
   }
   console.log(JSON.stringify({ measurement: "claims", rows }));
 }
 
-async function measureOne(
+async function measureCase(
   entries: number,
   callsPerSecond: number,
   seconds: number,
-): Promise<Row> {
+): Promise<ClaimsRow> {
   await using log = await startLog();
   const stop = new AbortController();
   const tasks = Array.from({ length: entries }, (_, index) =>
@@ -62,35 +62,39 @@
   );
   await sleep(100);
   const histogram = buildHistogram();
-  const outcome = { claimed: 0, refused: 0 };
+  const counts = { claimed: 0, refused: 0 };
   const before = { appends: log.appends(), reads: log.reads() };
   const startedAt = performance.now();
   const total = callsPerSecond * seconds;
-  for (let sent = 0; sent < total;) {
+  for (let sentCalls = 0; sentCalls < total;) {
     const elapsedMs = performance.now() - startedAt;
-    const due = Math.min(
+    const dueCalls = Math.min(
       total,
       Math.floor((elapsedMs / 1000) * callsPerSecond),
     );
-    for (; sent < due; sent += 1) {
-      callOnce(tasks[sent % entries], histogram, outcome);
+    for (; sentCalls < dueCalls; sentCalls += 1) {
+      startCall(tasks[sentCalls % entries], histogram, counts);
     }
-    await sleep(SLOT_MS);
+    await sleep(SEND_INTERVAL_MS);
   }
-  const lastedS = (performance.now() - startedAt) / 1000;
+  const elapsedSeconds = (performance.now() - startedAt) / 1000;
   const appends = log.appends() - before.appends;
   const reads = log.reads() - before.reads;
-  await sleep(WAIT_MS + 200);
+  await sleep(CLAIM_TIMEOUT_MS + 200);
   stop.abort();
   return {
     entries,
     callsPerSecond,
-    ...outcome,
-    appendsPerSecond: rounded(appends / lastedS),
+    ...counts,
+    appendsPerSecond: roundToTenth(appends / elapsedSeconds),
     baselineAppendsPerSecond: callsPerSecond,
-    readsPerSecond: rounded(reads / lastedS),
-    p50Ms: rounded(histogram.getValueAtPercentile(50) / MICROSECONDS),
-    p99Ms: rounded(histogram.getValueAtPercentile(99) / MICROSECONDS),
+    readsPerSecond: roundToTenth(reads / elapsedSeconds),
+    p50Ms: roundToTenth(
+      histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+    ),
+    p99Ms: roundToTenth(
+      histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MS,
+    ),
   };
 }
 
@@ -112,14 +116,14 @@
   return tasks;
 }
 
-function callOnce(
+function startCall(
   tasks: ClaimTasks,
   histogram: Histogram,
-  outcome: { claimed: number; refused: number },
+  counts: { claimed: number; refused: number },
 ): void {
   const call = uuidV7();
   const startedAt = performance.now();
-  const giveUpAtMs = Date.now() + WAIT_MS;
+  const giveUpAtMs = Date.now() + CLAIM_TIMEOUT_MS;
   const identity = { account: "crews", key: uuidV7(), isOwnKey: false };
   const choice = { agent: "runner-1", agentIncarnation: "i1" };
   tasks.begin(
@@ -127,20 +131,20 @@
     () => choice,
     (step) => {
       if (step.kind === "dispatch") {
-        const tookMs = performance.now() - startedAt;
-        histogram.recordValue(Math.round(tookMs * MICROSECONDS));
-        outcome.claimed += 1;
-      } else outcome.refused += 1;
+        const elapsedMs = performance.now() - startedAt;
+        histogram.recordValue(Math.round(elapsedMs * MICROSECONDS_PER_MS));
+        counts.claimed += 1;
+      } else counts.refused += 1;
       tasks.end(call);
     },
   );
 }
 
-function rounded(value: number): number {
+function roundToTenth(value: number): number {
   return Math.round(value * 10) / 10;
 }
 
-function describe(row: Row): string {
+function formatRow(row: ClaimsRow): string {
   const { entries, callsPerSecond, appendsPerSecond, readsPerSecond } = row;
   const { claimed, refused, p50Ms, p99Ms } = row;
   return (
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run measure -- configuration [--publications N]`: time from a
- * publication to its being in force at every process, and the log's reads,
- * against the number of processes in three data centres.
+ * publication until every process has applied it, and reads of the log, by the
+ * number of processes in three data centres.
  */
 import { parseArgs } from "node:util";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -16,66 +16,70 @@
 const PROCESS_COUNTS = [6, 12, 24, 48, 96];
 const DATA_CENTRES = ["caerdydd", "abertawe", "casnewydd"];
 const SETTLE_MS = 6_000;
-const QUIET_MS = 4_000;
+const IDLE_MS = 4_000;
 
-interface Row {
+interface ConfigurationRow {
   readonly processes: number;
   readonly publications: number;
   readonly medianMs: number;
   readonly longestMs: number;
-  /** Processes that read the log itself. */
+  /** Processes that read the log directly, not through another process. */
   readonly logReaders: number;
-  /** Reads a second while nothing is published. */
+  /** Log reads while nothing is published. */
   readonly quietReadsPerSecond: number;
   readonly readsPerPublication: number;
 }
 
-export async function measure(args: readonly string[]): Promise<void> {
+export async function measureConfiguration(
+  args: readonly string[],
+): Promise<void> {
   const { values } = parseArgs({
     args: [...args],
     options: { publications: { type: "string", default: "20" } },
   });
-  const rows: Row[] = [];
+  const rows: ConfigurationRow[] = [];
   for (const processes of PROCESS_COUNTS) {
-    const row = await measureOne(processes, Number(values.publications));
+    const row = await measureCase(processes, Number(values.publications));
     rows.push(row);
     console.log(JSON.stringify(row));
   }
   console.log(JSON.stringify({ measurement: "configuration", rows }));
 }
 
-async function measureOne(
+async function measureCase(
   processes: number,
   publications: number,
-): Promise<Row> {
+): Promise<ConfigurationRow> {
   await using site = await startFollowerSite();
   const followers: RunningFollower[] = [];
   for (let index = 0; index < processes; index += 1) {
-    const place = DATA_CENTRES[index % DATA_CENTRES.length];
-    followers.push(await site.start(`process-${index}`, place));
+    const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length];
+    followers.push(await site.start(`process-${index}`, dataCentre));
   }
   site.list();
   await site.append(publication());
   await awaitVersion(followers, 0);
   await sleep(SETTLE_MS);
-  const quietFrom = site.log.reads();
-  await sleep(QUIET_MS);
-  const quietReads = site.log.reads() - quietFrom;
-  const busyFrom = site.log.reads();
-  const times: number[] = [];
+  const readsBeforeIdle = site.log.reads();
+  await sleep(IDLE_MS);
+  const idleReads = site.log.reads() - readsBeforeIdle;
+  const readsBeforePublications = site.log.reads();
+  const durationsMs: number[] = [];
   for (let version = 1; version <= publications; version += 1) {
-    times.push(await publishOnce(site, followers, version));
+    durationsMs.push(await publishOnce(site, followers, version));
   }
-  const sorted = times.toSorted((a, b) => a - b);
+  const sorted = durationsMs.toSorted((a, b) => a - b);
   const sources = followers.map(({ follower }) => follower.summary.source);
   return {
     processes,
     publications,
-    medianMs: rounded(sorted[Math.floor(sorted.length / 2)]),
-    longestMs: rounded(sorted.at(-1) ?? 0),
+    medianMs: roundToTenth(sorted[Math.floor(sorted.length / 2)]),
+    longestMs: roundToTenth(sorted.at(-1) ?? 0),
     logReaders: sources.filter((source) => source === "log").length,
-    quietReadsPerSecond: rounded(quietReads / (QUIET_MS / 1000)),
-    readsPerPublication: rounded((site.log.reads() - busyFrom) / publications),
+    quietReadsPerSecond: roundToTenth(idleReads / (IDLE_MS / 1000)),
+    readsPerPublication: roundToTenth(
+      (site.log.reads() - readsBeforePublications) / publications,
+    ),
   };
 }
 
@@ -105,6 +109,6 @@
   );
 }
 
-function rounded(value: number): number {
+function roundToTenth(value: number): number {
   return Math.round(value * 10) / 10;
 }
--- a/measure/decisions.ts
+++ b/measure/decisions.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure -- decisions [--seed N]`: time and memory of one decision at
- * 820 runners, 40 models and 1,100 client accounts, against a scan of the
- * whole pool.
+ * `npm run measure -- decisions [--seed N]`: time of one admission and placement
+ * decision, and memory of an entry's decision state, at 820 runners, 40 models
+ * and 1,100 client accounts. The baseline scans the whole pool.
  */
 import { parseArgs } from "node:util";
 import {
@@ -24,10 +24,10 @@
 const SLOTS = 16;
 const PREFIXES = 20_000;
 const PREFIX_BLOCKS = 12;
-const WARM_UP = 50_000;
+const WARM_UP_DECISIONS = 50_000;
 const DECISIONS = 100_000;
-/** The largest model has this share of all runners. */
-const LARGEST_SHARE = 0.5;
+/** Part of the runners that serve the largest model. */
+const LARGEST_MODEL_SHARE = 0.5;
 const NS_PER_US = 1000;
 
 interface Timing {
@@ -40,12 +40,12 @@
 interface DecisionState {
   readonly placement: Placement;
   readonly admission: Admission;
-  readonly time: { nowMs: number };
-  readonly running: Map<string, () => void>;
+  readonly clock: { nowMs: number };
+  readonly endCallbacks: Map<string, () => void>;
 }
 
 function poolOf(runner: number): string {
-  if (runner < RUNNERS * LARGEST_SHARE) return "model-0";
+  if (runner < RUNNERS * LARGEST_MODEL_SHARE) return "model-0";
   return `model-${1 + (runner % (MODELS - 1))}`;
 }
 
@@ -53,8 +53,8 @@
   random: Random,
   tuning: Partial<PlacementTuning>,
 ): DecisionState {
-  const time = { nowMs: 0 };
-  const now = (): number => time.nowMs;
+  const clock = { nowMs: 0 };
+  const now = (): number => clock.nowMs;
   const placement = Placement.create({
     now,
     random,
@@ -72,30 +72,36 @@
       slots: SLOTS,
     });
   }
-  const running = new Map<string, () => void>();
+  const endCallbacks = new Map<string, () => void>();
   const admission = Admission.create({
     now,
     random,
     emit: ignoreEvents,
     entries: () => 320,
-    start: (request) => place(placement, admission, request, random, running),
+    start: (request) =>
+      place(placement, admission, request, random, endCallbacks),
     giveUp: () => undefined,
   });
-  return { placement, admission, time, running };
+  return { placement, admission, clock, endCallbacks };
 }
 
-function prefixOf(number: number): readonly number[] {
-  return Array.from({ length: PREFIX_BLOCKS }, (_, i) => number * 100 + i);
+function createPrefix(number: number): readonly number[] {
+  return Array.from(
+    { length: PREFIX_BLOCKS },
+    (_, index) => number * 100 + index,
+  );
 }
 
-const PREFIX_TABLE = Array.from({ length: PREFIXES }, (_, i) => prefixOf(i));
+const PREFIX_TABLE = Array.from({ length: PREFIXES }, (_, index) =>
+  createPrefix(index),
+);
 
 function place(
   placement: Placement,
   admission: Admission,
   admitted: AdmissionRequest,
   random: Random,
-  running: Map<string, () => void>,
+  endCallbacks: Map<string, () => void>,
 ): boolean {
   const request: PlacementRequest = {
     pool: admitted.pool,
@@ -110,8 +116,8 @@
   if (!choice.hasRoom) return false;
   const placed = { request, choice };
   placement.onStarted(placed);
-  running.set(admitted.id, () => {
-    running.delete(admitted.id);
+  endCallbacks.set(admitted.id, () => {
+    endCallbacks.delete(admitted.id);
     placement.onEnded(placed, choice.serviceMs);
     admission.onEnded(admitted, {
       costTokens: admitted.costTokens,
@@ -145,11 +151,18 @@
   };
 }
 
-/** Ends old work and reports loads, as happens between two decisions. */
-function turn(state: DecisionState, index: number, most: number): void {
-  state.time.nowMs += 0.25;
-  while (state.running.size > most) {
-    state.running.values().next().value?.();
+/**
+ * Simulates what happens between two decisions: time passes, the oldest requests
+ * beyond the limit end, and a runner reports its load.
+ */
+function advance(
+  state: DecisionState,
+  index: number,
+  maximumInFlight: number,
+): void {
+  state.clock.nowMs += 0.25;
+  while (state.endCallbacks.size > maximumInFlight) {
+    state.endCallbacks.values().next().value?.();
   }
   state.placement.onReport(`runner-${index % RUNNERS}`, {
     running: index % SLOTS,
@@ -162,44 +175,47 @@
   });
 }
 
-/** `most` requests are in flight; above the runners' room the queue fills. */
-function run(
+/**
+ * Times offers to admission with up to `maximumInFlight` requests in flight. If
+ * that is more than the runners have room for, the queue fills.
+ */
+function timeDecisions(
   seed: number,
-  most: number,
+  maximumInFlight: number,
   tuning: Partial<PlacementTuning>,
 ): Timing {
   const random = createRandom(seed);
   const state = createState(random, tuning);
-  const times: number[] = [];
-  for (let index = 0; index < WARM_UP + DECISIONS; index += 1) {
-    turn(state, index, most);
-    const request = createRequest(index, state.time.nowMs, random);
+  const timesUs: number[] = [];
+  for (let index = 0; index < WARM_UP_DECISIONS + DECISIONS; index += 1) {
+    advance(state, index, maximumInFlight);
+    const request = createRequest(index, state.clock.nowMs, random);
     const before = process.hrtime.bigint();
     state.admission.offer(request);
-    const elapsed = Number(process.hrtime.bigint() - before);
-    if (index >= WARM_UP) times.push(elapsed / NS_PER_US);
+    const elapsedNs = Number(process.hrtime.bigint() - before);
+    if (index >= WARM_UP_DECISIONS) timesUs.push(elapsedNs / NS_PER_US);
   }
-  const total = times.reduce((sum, value) => sum + value, 0);
+  const totalUs = timesUs.reduce((sum, value) => sum + value, 0);
   return {
-    p50Us: round(percentile(times, 0.5), 2),
-    p99Us: round(percentile(times, 0.99), 2),
-    p999Us: round(percentile(times, 0.999), 2),
-    perSecond: round((DECISIONS * 1e6) / total),
+    p50Us: round(percentile(timesUs, 0.5), 2),
+    p99Us: round(percentile(timesUs, 0.99), 2),
+    p999Us: round(percentile(timesUs, 0.999), 2),
+    perSecond: round((DECISIONS * 1e6) / totalUs),
   };
 }
 
-/** Heap of the decision state of one entry, filled as in the timed runs. */
+/** Heap size of one entry's decision state, filled as in the timed runs. */
 function memoryMegabytes(seed: number): number {
-  const collect = globalThis.gc ?? ((): void => undefined);
-  collect();
+  const collectGarbage = globalThis.gc ?? ((): void => undefined);
+  collectGarbage();
   const before = process.memoryUsage();
   const random = createRandom(seed);
   const state = createState(random, {});
-  for (let index = 0; index < WARM_UP; index += 1) {
-    turn(state, index, 4000);
-    state.admission.offer(createRequest(index, state.time.nowMs, random));
+  for (let index = 0; index < WARM_UP_DECISIONS; index += 1) {
+    advance(state, index, 4000);
+    state.admission.offer(createRequest(index, state.clock.nowMs, random));
   }
-  collect();
+  collectGarbage();
   const after = process.memoryUsage();
   const bytes =
     after.heapUsed + after.arrayBuffers - before.heapUsed - before.arrayBuffers;
@@ -213,9 +229,9 @@
   });
   const seed = Number(values.seed);
   const results = {
-    ours: run(seed, 4000, {}),
-    "ours, saturated": run(seed, 20_000, {}),
-    "scan of the pool": run(seed, 4000, { scanUpTo: RUNNERS }),
+    ours: timeDecisions(seed, 4000, {}),
+    "ours, saturated": timeDecisions(seed, 20_000, {}),
+    "scan of the pool": timeDecisions(seed, 4000, { scanUpTo: RUNNERS }),
   };
   const rows = Object.entries(results).map(([policy, timing]) => ({
     policy,
--- a/measure/main.ts
+++ b/measure/main.ts
@@ -1,14 +1,16 @@
-/** `npm run measure -- NAME [options]`: one measurement by its name. */
+/** `npm run measure -- NAME [options]` runs the measurement of that name. */
 import { measurements } from "./measurements.js";
 
 const EXIT_USAGE = 2;
 
-const [name = "", ...rest] = process.argv.slice(2);
-const load = measurements[name];
-if (load === undefined) {
-  console.error(`measurements: ${Object.keys(measurements).join(", ")}`);
+const [name = "", ...options] = process.argv.slice(2);
+const loadMeasurement = measurements[name];
+if (loadMeasurement === undefined) {
+  console.error(
+    `no such measurement; choose one of: ${Object.keys(measurements).join(", ")}`,
+  );
   process.exitCode = EXIT_USAGE;
 } else {
-  const measure = await load();
-  await measure(rest);
+  const run = await loadMeasurement();
+  await run(options);
 }
--- a/measure/path-engine.ts
+++ b/measure/path-engine.ts
@@ -1,4 +1,4 @@
-/** A stand-in engine as a process of its own; prints its address. */
+/** Runs a stand-in engine in a separate process and prints its address. */
 import { startEngine } from "../standins/engine.js";
 
 const stepMs = Number(process.argv.at(2) ?? 0);
--- a/measure/path-load.ts
+++ b/measure/path-load.ts
@@ -1,11 +1,11 @@
-/** Callers of the path measurement: open-loop calls and token streams. */
+/** Load generator of the path measurement: open-loop calls and token streams. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { build, type Histogram } from "hdr-histogram-js";
 import { Pool } from "undici";
 import type { Random } from "../src/internal.js";
 
-const MICROSECONDS = 1000;
-const LARGEST_US = 60_000_000;
+const MICROSECONDS_PER_MS = 1000;
+const MAXIMUM_LATENCY_US = 60_000_000;
 
 export interface Target {
   readonly pool: Pool;
@@ -23,22 +23,26 @@
 
 export function createHistogram(): Histogram {
   return build({
-    highestTrackableValue: LARGEST_US,
+    highestTrackableValue: MAXIMUM_LATENCY_US,
     numberOfSignificantValueDigits: 3,
   });
 }
 
-/** Microseconds until the whole answer; throws when it isn't a 200. */
+/** Microseconds until the answer is complete; throws unless its status is 200. */
 export async function timeCall(target: Target, body: string): Promise<number> {
-  const from = performance.now();
+  const startedAt = performance.now();
   const { pool, path, headers } = target;
   const response = await pool.request({ method: "POST", path, headers, body });
   await response.body.text();
-  if (response.statusCode !== 200) throw new RangeError("not answered");
-  return (performance.now() - from) * MICROSECONDS;
+  if (response.statusCode !== 200)
+    throw new RangeError("answer without status 200");
+  return (performance.now() - startedAt) * MICROSECONDS_PER_MS;
 }
 
-/** Starts calls at random times of a given mean rate, whatever is open. */
+/**
+ * Starts calls as Poisson arrivals of the given mean rate, however many are
+ * still unanswered, and waits until all are answered.
+ */
 export async function openLoop(options: {
   readonly perSecond: number;
   readonly seconds: number;
@@ -46,19 +50,19 @@
   readonly call: () => Promise<void>;
 }): Promise<void> {
   const { perSecond, seconds, random, call } = options;
-  const end = performance.now() + seconds * 1000;
-  const open: Promise<void>[] = [];
-  let next = performance.now();
-  while (next < end) {
-    const waitMs = next - performance.now();
+  const endAt = performance.now() + seconds * 1000;
+  const pending: Promise<void>[] = [];
+  let nextCallAt = performance.now();
+  while (nextCallAt < endAt) {
+    const waitMs = nextCallAt - performance.now();
     if (waitMs > 0.5) await sleep(waitMs);
-    open.push(call());
-    next += (-Math.log(1 - random()) / perSecond) * 1000;
+    pending.push(call());
+    nextCallAt += (-Math.log(1 - random()) / perSecond) * 1000;
   }
-  await Promise.all(open);
+  await Promise.all(pending);
 }
 
-/** Tokens of one streamed answer; throws when it isn't whole. */
+/** Counts the tokens of one streamed answer; throws if it is incomplete. */
 export async function countTokens(
   { pool, path, headers }: Target,
   body: string,
@@ -66,22 +70,23 @@
   const response = await pool.request({ method: "POST", path, headers, body });
   let events = 0;
   let tail = "";
-  for await (const part of response.body) {
-    const text = (part as Buffer).toString("latin1");
+  for await (const chunk of response.body) {
+    const text = (chunk as Buffer).toString("latin1");
     events += countEvents(text);
     tail = (tail + text).slice(-16);
   }
-  if (!tail.includes("[DONE]")) throw new RangeError("stream is not whole");
+  if (!tail.includes("[DONE]"))
+    throw new RangeError("stream ended without [DONE]");
   return events - 1;
 }
 
-/** Every event ends with an empty line; one may be split between parts. */
+/** Counts the `data: ` prefixes in a chunk; one that is split between two is missed. */
 function countEvents(text: string): number {
   let count = 0;
   for (
-    let at = text.indexOf("data: ");
-    at >= 0;
-    at = text.indexOf("data: ", at + 1)
+    let index = text.indexOf("data: ");
+    index >= 0;
+    index = text.indexOf("data: ", index + 1)
   ) {
     count += 1;
   }
--- a/measure/path.ts
+++ b/measure/path.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure -- path`: what entry and agent add to calling the stand-in
- * engine directly. Both ways run in the same run, call by call in turn, so
- * that the machine's other work meets both alike.
+ * `npm run measure -- path`: overhead of entry and agent over direct calls to
+ * the stand-in engine. Direct calls and calls through the entry alternate within
+ * one run, so that other load on the machine affects both equally.
  */
 import { fork, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
@@ -18,7 +18,7 @@
 } from "../demo/configurations.js";
 import { startSite, type Site } from "../demo/site.js";
 import { createRandom } from "../src/internal.js";
-import type { Measure } from "./measurements.js";
+import type { Measurement } from "./measurements.js";
 import {
   countTokens,
   createHistogram,
@@ -31,9 +31,9 @@
 const RUNNERS = 4;
 const STREAM_STEP_MS = 2;
 const KIB_PER_MIB = 1024;
-const SHORT_TOKENS = 4;
+const SHORT_ANSWER_TOKENS = 4;
 
-interface Paired {
+interface PairedHistograms {
   readonly direct: Histogram;
   readonly through: Histogram;
 }
@@ -43,7 +43,7 @@
   readonly streams: number;
 }
 
-export const measurePath: Measure = async (args) => {
+export const measurePath: Measurement = async (args) => {
   const { values } = parseArgs({
     args: [...args],
     options: {
@@ -60,11 +60,11 @@
   const streams = Number(values.streams);
   const tokens = Number(values.tokens);
 
-  const idleMib = await measureIdle();
-  const paired = await measureShort(perSecond, seconds, random);
+  const idleMib = await measureIdleMemory();
+  const paired = await measureShortCalls(perSecond, seconds, random);
   const direct = await measureStreams(streams, tokens, "direct");
   const through = await measureStreams(streams, tokens, "through");
-  report(paired, direct, through, idleMib, perSecond);
+  printReport(paired, direct, through, idleMib, perSecond);
 };
 
 async function startEngines(stepMs: number): Promise<{
@@ -89,7 +89,7 @@
 
 async function withSite(
   stepMs: number,
-  body: (site: Site, engines: readonly string[]) => Promise<void>,
+  measureSite: (site: Site, engines: readonly string[]) => Promise<void>,
 ): Promise<void> {
   const { addresses, children } = await startEngines(stepMs);
   try {
@@ -106,7 +106,7 @@
     });
     await site.publish(siteConfiguration("dyfrwr", RUNNERS));
     await site.settled();
-    await body(site, addresses);
+    await measureSite(site, addresses);
   } finally {
     for (const child of children) child.kill();
   }
@@ -118,34 +118,37 @@
   return createTarget(address, { authorization });
 }
 
-async function measureShort(
+async function measureShortCalls(
   perSecond: number,
   seconds: number,
   random: () => number,
-): Promise<Paired> {
+): Promise<PairedHistograms> {
   const paired = { direct: createHistogram(), through: createHistogram() };
   await withSite(1, async (site, engines) => {
     const through = entryTarget(site);
     const direct = engines.map((address) => createTarget(address, {}));
     let calls = 0;
-    const call = async (histograms: Paired): Promise<void> => {
+    const call = async (histograms: PairedHistograms): Promise<void> => {
       calls += 1;
-      const number = calls;
-      const isDirect = number % 2 === 0;
-      const target = isDirect ? direct[(number / 2) % RUNNERS] : through;
-      const body = shortBody(number);
-      const headers = { ...target.headers, "x-request-id": `call-${number}` };
-      const us = await timeCall({ ...target, headers }, body);
-      histograms[isDirect ? "direct" : "through"].recordValue(us);
+      const callNumber = calls;
+      const isDirect = callNumber % 2 === 0;
+      const target = isDirect ? direct[(callNumber / 2) % RUNNERS] : through;
+      const body = shortBody(callNumber);
+      const headers = {
+        ...target.headers,
+        "x-request-id": `call-${callNumber}`,
+      };
+      const latencyUs = await timeCall({ ...target, headers }, body);
+      histograms[isDirect ? "direct" : "through"].recordValue(latencyUs);
     };
-    const warm = { direct: createHistogram(), through: createHistogram() };
-    // Each way gets the full rate: every second call is a direct one.
+    const warmUp = { direct: createHistogram(), through: createHistogram() };
+    // Each route takes every second call, so the total rate is doubled.
     const rate = 2 * perSecond;
     await openLoop({
       perSecond: rate,
       seconds: 3,
       random,
-      call: () => call(warm),
+      call: () => call(warmUp),
     });
     await openLoop({
       perSecond: rate,
@@ -157,43 +160,52 @@
   return paired;
 }
 
-function shortBody(number: number): string {
-  const prompt = `site note ${number}`;
-  return JSON.stringify({ model: MODEL, prompt, max_tokens: SHORT_TOKENS });
+function shortBody(callNumber: number): string {
+  const prompt = `site note ${callNumber}`;
+  return JSON.stringify({
+    model: MODEL,
+    prompt,
+    max_tokens: SHORT_ANSWER_TOKENS,
+  });
 }
 
 async function measureStreams(
   streams: number,
   tokens: number,
-  way: "direct" | "through",
+  route: "direct" | "through",
 ): Promise<StreamRate> {
   let tokensPerSecond = 0;
   await withSite(STREAM_STEP_MS, async (site, engines) => {
     const through = entryTarget(site);
     const direct = engines.map((address) => createTarget(address, {}));
     const targetOf = (index: number): Target =>
-      way === "through" ? through : direct[index % RUNNERS];
-    const run = async (count: number): Promise<number> => {
+      route === "through" ? through : direct[index % RUNNERS];
+    const runStreams = async (tokenCount: number): Promise<number> => {
       const calls = Array.from({ length: streams }, (_, index) => {
         const target = targetOf(index);
-        const id = `${way}-${count}-${index}`;
+        const id = `${route}-${tokenCount}-${index}`;
         const headers = { ...target.headers, "x-request-id": id };
         const prompt = `long draft ${id}`;
-        const body = { model: MODEL, prompt, max_tokens: count, stream: true };
+        const body = {
+          model: MODEL,
+          prompt,
+          max_tokens: tokenCount,
+          stream: true,
+        };
         return countTokens({ ...target, headers }, JSON.stringify(body));
       });
       return (await Promise.all(calls)).reduce((sum, part) => sum + part, 0);
     };
-    await run(200);
-    const from = performance.now();
-    const total = await run(tokens);
-    tokensPerSecond = total / ((performance.now() - from) / 1000);
+    await runStreams(200);
+    const startedAt = performance.now();
+    const total = await runStreams(tokens);
+    tokensPerSecond = total / ((performance.now() - startedAt) / 1000);
   });
   return { tokensPerSecond, streams };
 }
 
-/** Resident memory of an idle entry and an idle agent, MiB. */
-async function measureIdle(): Promise<{ entry: number; agent: number }> {
+/** Resident memory of an idle entry and an idle agent in MiB. */
+async function measureIdleMemory(): Promise<{ entry: number; agent: number }> {
   const idle = { entry: 0, agent: 0 };
   await withSite(1, (site) => {
     idle.entry = residentMib(site.entries[0].daemon.process.child.pid);
@@ -209,34 +221,35 @@
   return Math.round(Number(kib) / KIB_PER_MIB);
 }
 
-function report(
-  { direct, through }: Paired,
+function printReport(
+  { direct, through }: PairedHistograms,
   directRate: StreamRate,
   throughRate: StreamRate,
   idleMib: { entry: number; agent: number },
   requestsPerSecond: number,
 ): void {
-  const at = (histogram: Histogram, percentile: number): number =>
+  const percentileUs = (histogram: Histogram, percentile: number): number =>
     histogram.getValueAtPercentile(percentile);
   const row = (name: string, histogram: Histogram): string =>
-    `${name.padEnd(10)} p50 ${at(histogram, 50)} us, p99 ${at(histogram, 99)} us, calls ${histogram.totalCount}`;
+    `${name.padEnd(10)} p50 ${percentileUs(histogram, 50)} us, p99 ${percentileUs(histogram, 99)} us, calls ${histogram.totalCount}`;
   console.log(row("direct", direct));
   console.log(row("through", through));
-  const tokens = (rate: StreamRate): number => Math.round(rate.tokensPerSecond);
+  const roundedRate = (rate: StreamRate): number =>
+    Math.round(rate.tokensPerSecond);
   console.log(
-    `streams    direct ${tokens(directRate)} tokens/s, through ${tokens(throughRate)} tokens/s`,
+    `streams    direct ${roundedRate(directRate)} tokens/s, through ${roundedRate(throughRate)} tokens/s`,
   );
   console.log(
     JSON.stringify({
       measurement: "path",
       requestsPerSecond,
-      addedP50Us: at(through, 50) - at(direct, 50),
-      addedP99Us: at(through, 99) - at(direct, 99),
-      directP50Us: at(direct, 50),
-      directP99Us: at(direct, 99),
+      addedP50Us: percentileUs(through, 50) - percentileUs(direct, 50),
+      addedP99Us: percentileUs(through, 99) - percentileUs(direct, 99),
+      directP50Us: percentileUs(direct, 50),
+      directP99Us: percentileUs(direct, 99),
       streams: throughRate.streams,
-      directTokensPerSecond: tokens(directRate),
-      throughTokensPerSecond: tokens(throughRate),
+      directTokensPerSecond: roundedRate(directRate),
+      throughTokensPerSecond: roundedRate(throughRate),
       idleEntryMib: idleMib.entry,
       idleAgentMib: idleMib.agent,
     }),
--- a/measure/placement.ts
+++ b/measure/placement.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run measure -- placement [--seed N] [--seconds N] [--only SCENARIO]
- * [--sweep]`: ways to choose a runner, in the same scenarios with the same calls.
+ * [--sweep]`: compares runner selection policies on the same scenarios and calls.
  */
 import { parseArgs } from "node:util";
 import { createRandom } from "../src/internal.js";
@@ -21,19 +21,19 @@
 } from "./support/site.js";
 import { percentile, printTable, round, type Row } from "./support/summary.js";
 import {
-  drawCalls,
-  entryOf,
+  generateCalls,
+  pickEntry,
   type Call,
-  type Stream,
+  type CallStream,
 } from "./support/workload.js";
 
 export interface PlacementScenario {
   readonly name: string;
   readonly settings: Partial<SiteSettings>;
-  readonly streams: readonly Stream[];
-  /** Part of the capacity without any cache hit that the calls ask for. */
+  readonly streams: readonly CallStream[];
+  /** Demand of the calls over the site's capacity, both without cache hits. */
   readonly load: number;
-  readonly faults?: (site: Site) => void;
+  readonly injectFaults?: (site: Site) => void;
 }
 
 export interface PlacementResult {
@@ -46,8 +46,8 @@
   readonly attemptsEach: number;
 }
 
-const MOST_ATTEMPTS = 3;
-const SITE: Omit<SiteSettings, "seed" | "chooser"> = {
+const MAXIMUM_ATTEMPTS = 3;
+const SITE_DEFAULTS: Omit<SiteSettings, "seed" | "chooser"> = {
   runners: 12,
   slots: 8,
   entries: 3,
@@ -58,21 +58,21 @@
   cacheBlocks: 400,
 };
 
-const DRAFTS: Stream = {
+const DRAFTS: CallStream = {
   account: "crews",
   profile: "normal",
   priority: 5,
   deadlineMs: 60_000,
   promptTokens: 2048,
   outputTokens: 150,
-  prefixes: 0,
-  rate: () => 1,
+  prefixCount: 0,
+  callsPerSecond: () => 1,
 };
-const SKEWED: Stream = { ...DRAFTS, promptTokens: 8192, prefixes: 300 };
-const SHORT: Stream = { ...DRAFTS, promptTokens: 512, outputTokens: 30 };
-const LONG: Stream = { ...DRAFTS, promptTokens: 4096, outputTokens: 1200 };
+const SKEWED: CallStream = { ...DRAFTS, promptTokens: 8192, prefixCount: 300 };
+const SHORT: CallStream = { ...DRAFTS, promptTokens: 512, outputTokens: 30 };
+const LONG: CallStream = { ...DRAFTS, promptTokens: 4096, outputTokens: 1200 };
 
-const SLOW_FROM_MS = 10_000;
+const FAULT_FROM_MS = 10_000;
 
 export const SCENARIOS: readonly PlacementScenario[] = [
   { name: "even", settings: {}, streams: [DRAFTS], load: 0.85 },
@@ -82,8 +82,8 @@
     settings: {},
     streams: [DRAFTS],
     load: 0.75,
-    faults: (site) => {
-      site.time.after(SLOW_FROM_MS, () => {
+    injectFaults: (site) => {
+      site.clock.schedule(FAULT_FROM_MS, () => {
         site.runners[3].slowdown = 5;
       });
     },
@@ -93,8 +93,8 @@
     settings: {},
     streams: [DRAFTS],
     load: 0.75,
-    faults: (site) => {
-      site.time.after(SLOW_FROM_MS, () => {
+    injectFaults: (site) => {
+      site.clock.schedule(FAULT_FROM_MS, () => {
         site.runners[3].fail();
       });
     },
@@ -102,8 +102,8 @@
   {
     name: "long and short",
     settings: {},
-    // Nine short for one long request.
-    streams: [{ ...SHORT, rate: () => 9 }, LONG],
+    // Nine short requests for each long one.
+    streams: [{ ...SHORT, callsPerSecond: () => 9 }, LONG],
     load: 0.8,
   },
   {
@@ -117,7 +117,7 @@
     settings: {},
     streams: [DRAFTS],
     load: 0.6,
-    faults: loseDataCentre,
+    injectFaults: loseDataCentre,
   },
   ...[1, 3, 12, 320].map((entries) => ({
     name: `${entries} entries`,
@@ -129,32 +129,32 @@
 
 function loseDataCentre(site: Site): void {
   const lost = site.runners.filter((_, index) => index % 3 === 1);
-  site.time.after(SLOW_FROM_MS, () => {
+  site.clock.schedule(FAULT_FROM_MS, () => {
     for (const runner of lost) runner.fail();
   });
-  site.time.after(2 * SLOW_FROM_MS, () => {
+  site.clock.schedule(2 * FAULT_FROM_MS, () => {
     for (const runner of lost) runner.isDown = false;
   });
 }
 
-/** Scales the streams so that they ask for the wanted part of capacity. */
-function scaled(
-  streams: readonly Stream[],
+/** Scales the streams so that their total demand is `load` of the capacity. */
+function scaledStreams(
+  streams: readonly CallStream[],
   load: number,
   slots: number,
-): readonly Stream[] {
-  const asked = streams.reduce(
-    (sum, stream) => sum + stream.rate(0) * meanServiceMs(stream),
+): readonly CallStream[] {
+  const demand = streams.reduce(
+    (sum, stream) => sum + stream.callsPerSecond(0) * meanServiceMs(stream),
     0,
   );
-  const factor = (load * slots * 1000) / asked;
+  const factor = (load * slots * 1000) / demand;
   return streams.map((stream) => ({
     ...stream,
-    rate: (nowMs) => stream.rate(nowMs) * factor,
+    callsPerSecond: (nowMs) => stream.callsPerSecond(nowMs) * factor,
   }));
 }
 
-export function meanServiceMs(stream: Stream): number {
+export function meanServiceMs(stream: CallStream): number {
   const { promptTokens, outputTokens } = stream;
   return promptTokens * PREFILL_MS_PER_TOKEN + outputTokens * STEP_MS;
 }
@@ -165,31 +165,31 @@
   seed: number,
   durationMs: number,
 ): PlacementResult {
-  const settings = { ...SITE, ...scenario.settings, seed, chooser };
+  const settings = { ...SITE_DEFAULTS, ...scenario.settings, seed, chooser };
   const site = Site.create(settings);
   const { load } = scenario;
   const slots = settings.runners * settings.slots;
-  const streams = scaled(scenario.streams, load, slots);
-  const calls = drawCalls(streams, durationMs, createRandom(seed));
-  const results = new Results();
+  const streams = scaledStreams(scenario.streams, load, slots);
+  const calls = generateCalls(streams, durationMs, createRandom(seed));
+  const tally = new PlacementTally();
   const balancer = createRandom(seed + 1);
   for (const call of calls) {
-    const entry = entryOf(balancer, settings.entries);
-    site.time.after(call.atMs, () => {
-      attempt(site, entry, call, [], results);
+    const entry = pickEntry(balancer, settings.entries);
+    site.clock.schedule(call.atMs, () => {
+      sendAttempt(site, entry, call, [], tally);
     });
   }
-  scenario.faults?.(site);
-  site.time.run(durationMs + DRAFTS.deadlineMs);
-  return results.summarise(calls, site.attempts);
+  scenario.injectFaults?.(site);
+  site.clock.runUntil(durationMs + DRAFTS.deadlineMs);
+  return tally.summarise(calls, site.attempts);
 }
 
-function attempt(
+function sendAttempt(
   site: Site,
   entry: number,
   call: Call,
   excluded: readonly string[],
-  results: Results,
+  tally: PlacementTally,
 ): void {
   const request = placementRequest(call, call.outputTokens, excluded);
   const choice = site.choose(entry, request);
@@ -197,22 +197,22 @@
     call,
     placed: { request, choice },
     onFirstToken: () => {
-      results.firstTokens.push(site.time.nowMs - call.atMs);
+      tally.firstTokens.push(site.clock.nowMs - call.atMs);
     },
     onEnded: ({ cachedTokens }) => {
-      results.answered += 1;
-      results.cachedTokens += cachedTokens;
+      tally.answered += 1;
+      tally.cachedTokens += cachedTokens;
     },
     onFailed: () => {
-      const tried = [...excluded, choice.runner];
-      if (tried.length >= MOST_ATTEMPTS) results.failed += 1;
-      else attempt(site, entry, call, tried, results);
+      const failedRunners = [...excluded, choice.runner];
+      if (failedRunners.length >= MAXIMUM_ATTEMPTS) tally.failed += 1;
+      else sendAttempt(site, entry, call, failedRunners, tally);
     },
     onRefused: () => undefined,
   });
 }
 
-class Results {
+class PlacementTally {
   readonly firstTokens: number[] = [];
   answered = 0;
   failed = 0;
@@ -240,8 +240,8 @@
   ours: ours(),
 };
 
-/** `--sweep`: the figures behind the constants. */
-function sweep(): Readonly<Record<string, CreateChooser>> {
+/** Choosers with each combination of the tuned constants, for `--sweep`. */
+function sweepChoosers(): Readonly<Record<string, CreateChooser>> {
   const choosers: Record<string, CreateChooser> = {};
   for (const samples of [4, 8, 16, 32]) {
     for (const reportTrustMs of [100, 300, 1000]) {
@@ -264,7 +264,7 @@
   });
   const seed = Number(values.seed);
   const durationMs = Number(values.seconds) * 1000;
-  const choosers = values.sweep ? sweep() : CHOOSERS;
+  const choosers = values.sweep ? sweepChoosers() : CHOOSERS;
   const summary: Record<string, Record<string, PlacementResult>> = {};
   for (const scenario of SCENARIOS) {
     if (!scenario.name.includes(values.only)) continue;
--- a/measure/skew-policies.ts
+++ b/measure/skew-policies.ts
@@ -1,4 +1,4 @@
-/** The policies that the balance measurement compares. */
+/** Expert balancing policies that the skew measurement compares. */
 import {
   Balancer,
   collectTokens,
@@ -16,19 +16,19 @@
   readonly shape: GroupShape;
   readonly costs: MoveCosts;
   readonly skewWeight: number;
-  /** Windows between two full repacks. */
+  /** Windows between two full repacks, for the repack policy. */
   readonly repackPeriod: number;
   readonly limits?: PlannerLimits;
 }
 
 export interface Policy {
   readonly observe: (map: ExpertMap, reports: readonly RankReport[]) => void;
-  /** The next map, or undefined to stay. */
+  /** The next map, or undefined to keep the current one. */
   readonly decide: (
     map: ExpertMap,
     switchPending: boolean,
   ) => ExpertMap | undefined;
-  /** Request work for each rank, of the total; as the trace says if absent. */
+  /** Divides the request work among the ranks; the trace's division if absent. */
   readonly placeRequests?: (map: ExpertMap, total: number) => Float64Array;
 }
 
@@ -38,7 +38,7 @@
   return { observe: () => undefined, decide: () => undefined };
 }
 
-/** Repacks everything each period for the mean load of that period. */
+/** Repacks all experts every period, for the mean load of that period. */
 function createRepack({ shape, repackPeriod }: PolicySettings): Policy {
   const total = new Float64Array(shape.layers * shape.experts);
   const equalRanks = {
@@ -66,10 +66,10 @@
 function createIncremental(settings: PolicySettings): Policy {
   const { shape, costs, skewWeight, limits } = settings;
   const balancer = Balancer.create(shape, ignoreEvents, limits);
-  return incrementalOf(balancer, costs, skewWeight);
+  return balancerPolicy(balancer, costs, skewWeight);
 }
 
-function incrementalOf(
+function balancerPolicy(
   balancer: Balancer,
   costs: MoveCosts,
   skewWeight: number,
@@ -85,24 +85,24 @@
   };
 }
 
-/** Requests are placed where expert work leaves time; the map stays. */
+/** Places requests where the expert load leaves time; never changes the map. */
 function createPlacementOnly(settings: PolicySettings): Policy {
   const { placeRequests, observe } = createJoint(settings);
   const { decide } = createStatic();
   return { observe, decide, ...(placeRequests ? { placeRequests } : {}) };
 }
 
-/** Requests and experts are placed by the same load. */
+/** Places requests and experts by the same load estimate. */
 function createJoint(settings: PolicySettings): Policy {
   const { shape, costs, skewWeight, limits } = settings;
   const balancer = Balancer.create(shape, ignoreEvents, limits);
   return {
-    ...incrementalOf(balancer, costs, skewWeight),
+    ...balancerPolicy(balancer, costs, skewWeight),
     placeRequests: (map, total) => balancer.levelledRequests(map, total),
   };
 }
 
-/** Policies that place requests too; told apart only if there are any. */
+/** Policies that also place requests; skipped on traces without request work. */
 export const requestPolicies: ReadonlySet<string> = new Set([
   "placement-only",
   "joint",
--- a/measure/skew-run.ts
+++ b/measure/skew-run.ts
@@ -1,7 +1,7 @@
 /**
- * One policy on one trace in virtual time. Reports come one window late. A new
- * map takes effect only after its weights were fetched at the weight store's
- * rate and the ranks agreed on the switch, always at a window's start.
+ * Simulates one policy on one trace, window by window. Reports arrive one window
+ * late. A new map takes effect at the start of a window, once its weights were
+ * fetched at the weight store's rate and the ranks agreed on the switch.
  */
 import {
   createEvenMap,
@@ -21,15 +21,15 @@
 } from "../src/internal.js";
 import type { Policy } from "./skew-policies.js";
 import type { Trace, TraceWindow } from "./traces.js";
-import { ranksOf } from "./traces.js";
+import { rankStateOf } from "./traces.js";
 
 export interface RunResult {
-  /** Step time over evenly spread step time: mean and 99th percentile. */
+  /** Step time over that of perfectly even load: mean and 99th percentile. */
   readonly skewMean: number;
   readonly skewP99: number;
-  /** Mean over the second half, when starting up is over. */
+  /** Mean over the second half of the trace, which excludes the start-up. */
   readonly skewSettled: number;
-  /** Max over mean rank time if ranks only met at the end of a step. */
+  /** Slowest over mean rank time if ranks synchronised only once a step. */
   readonly wholeStepSkewMean: number;
   readonly moves: number;
   readonly bytes: number;
@@ -40,11 +40,11 @@
 }
 
 export const WINDOW_SECONDS = 10;
-/** From the end of the transfer to the step in which all ranks switch. */
-const AGREEMENT_SECONDS = 1;
-const START_STEPS = 400;
+/** Time from the end of the transfer to the step in which all ranks switch. */
+const SWITCH_AGREEMENT_SECONDS = 1;
+const INITIAL_REFINE_STEPS = 400;
 
-interface Pending {
+interface PendingSwitch {
   readonly map: ExpertMap;
   readonly moves: number;
   readonly window: number;
@@ -56,8 +56,8 @@
   policy: Policy,
   costs: MoveCosts,
 ): RunResult {
-  let map = startMap(shape, trace);
-  let pending: Pending | undefined;
+  let map = initialMap(shape, trace);
+  let pending: PendingSwitch | undefined;
   let previous: { map: ExpertMap; reports: readonly RankReport[] } | undefined;
   const skews: number[] = [];
   const wholeSteps: number[] = [];
@@ -65,16 +65,22 @@
   let moves = 0;
   let switches = 0;
   let requestTokens = trace.windows[0].requestTokens;
-  trace.windows.forEach((given, index) => {
+  trace.windows.forEach((traceWindow, index) => {
     if (pending !== undefined && index >= pending.window) {
       map = pending.map;
       moves += pending.moves;
       switches++;
       pending = undefined;
     }
-    requestTokens = nextRequests(policy, map, given, requestTokens, index);
-    const window = { ...given, requestTokens };
-    const times = rankTimes(map, window.tokens, ranksOf(window));
+    requestTokens = nextRequestTokens(
+      policy,
+      map,
+      traceWindow,
+      requestTokens,
+      index,
+    );
+    const window = { ...traceWindow, requestTokens };
+    const times = rankTimes(map, window.tokens, rankStateOf(window));
     const time = stepTime(shape, times, window.speeds);
     skews.push(skewOf(time));
     wholeSteps.push(time.slowestWholeStep / time.mean);
@@ -83,7 +89,7 @@
     const next = policy.decide(map, pending !== undefined);
     plannerMs.push(performance.now() - started);
     previous = { map, reports: reportsOf(map, window, index) };
-    if (next !== undefined) pending = schedule(map, next, index, costs);
+    if (next !== undefined) pending = scheduleSwitch(map, next, index, costs);
   });
   return {
     skewMean: mean(skews),
@@ -99,26 +105,26 @@
   };
 }
 
-/** Share of the request work that is placed anew in one window. */
+/** Part of the request work that ends and is placed anew in one window. */
 const REQUEST_TURNOVER = 0.3;
-/** Windows until a policy has seen enough to place requests. */
-const FIRST_PLACEMENT = 3;
+/** Windows that a policy observes before it places requests. */
+const WARM_UP_WINDOWS = 3;
 
-function nextRequests(
+function nextRequestTokens(
   policy: Policy,
   map: ExpertMap,
-  given: TraceWindow,
-  before: Float64Array,
+  traceWindow: TraceWindow,
+  previous: Float64Array,
   index: number,
 ): Float64Array {
   const { placeRequests } = policy;
-  if (placeRequests === undefined || index < FIRST_PLACEMENT) {
-    return given.requestTokens;
+  if (placeRequests === undefined || index < WARM_UP_WINDOWS) {
+    return traceWindow.requestTokens;
   }
-  const total = given.requestTokens.reduce((sum, work) => sum + work, 0);
-  const wanted = placeRequests(map, total);
-  return before.map(
-    (work, rank) => work + REQUEST_TURNOVER * (wanted[rank] - work),
+  const total = traceWindow.requestTokens.reduce((sum, work) => sum + work, 0);
+  const target = placeRequests(map, total);
+  return previous.map(
+    (work, rank) => work + REQUEST_TURNOVER * (target[rank] - work),
   );
 }
 
@@ -126,32 +132,36 @@
 export function lowerBoundOf(shape: GroupShape, trace: Trace): number {
   return mean(
     trace.windows.map((window) =>
-      skewLowerBound(shape, window.tokens, ranksOf(window)),
+      skewLowerBound(shape, window.tokens, rankStateOf(window)),
     ),
   );
 }
 
-const SAMPLE_EVERY = 20;
-const SAMPLE_REACH = 3;
+const SAMPLE_INTERVAL_WINDOWS = 20;
+const SAMPLE_RADIUS_WINDOWS = 3;
 
 /**
- * What a map could reach that is refitted for every window at no cost, from
- * the mean of the windows around it: the bound plus packing losses and the
- * noise of a single window. Sampled, as fitting takes long.
+ * Skew of a map that is refitted for each window at no cost, to the mean of the
+ * windows around it. It exceeds the lower bound by packing losses and the noise
+ * of a single window. Only every 20th window is sampled, as fitting is slow.
  */
 export function refittedSkewOf(shape: GroupShape, trace: Trace): number {
   const skews: number[] = [];
-  for (let at = 0; at < trace.windows.length; at += SAMPLE_EVERY) {
-    const window = trace.windows[at];
-    const around = trace.windows.slice(
-      Math.max(at - SAMPLE_REACH, 0),
-      at + SAMPLE_REACH + 1,
+  for (
+    let index = 0;
+    index < trace.windows.length;
+    index += SAMPLE_INTERVAL_WINDOWS
+  ) {
+    const window = trace.windows[index];
+    const neighbours = trace.windows.slice(
+      Math.max(index - SAMPLE_RADIUS_WINDOWS, 0),
+      index + SAMPLE_RADIUS_WINDOWS + 1,
     );
-    const tokens = window.tokens.map((_, index) =>
-      mean(around.map((near) => near.tokens[index])),
+    const tokens = window.tokens.map((_, position) =>
+      mean(neighbours.map((neighbour) => neighbour.tokens[position])),
     );
-    const map = fitMap(shape, tokens, ranksOf(window));
-    const times = rankTimes(map, window.tokens, ranksOf(window));
+    const map = fitMap(shape, tokens, rankStateOf(window));
+    const times = rankTimes(map, window.tokens, rankStateOf(window));
     skews.push(skewOf(stepTime(shape, times, window.speeds)));
   }
   return mean(skews);
@@ -164,39 +174,39 @@
 ): ExpertMap {
   const ranks = { speeds, requestTokens };
   const packed = repack(createEvenMap(shape), tokens, ranks);
-  return refineMap(packed, tokens, ranks, START_STEPS);
+  return refineMap(packed, tokens, ranks, INITIAL_REFINE_STEPS);
 }
 
-function schedule(
+function scheduleSwitch(
   from: ExpertMap,
   to: ExpertMap,
   window: number,
   costs: MoveCosts,
-): Pending {
+): PendingSwitch {
   const moves = movesBetween(from, to).length;
   const bytes = moves * costs.bytesPerExpert;
-  const seconds = bytes / costs.storeBytesPerSecond + AGREEMENT_SECONDS;
+  const seconds = bytes / costs.storeBytesPerSecond + SWITCH_AGREEMENT_SECONDS;
   const windows = Math.ceil(seconds / WINDOW_SECONDS);
   return { map: to, moves, window: window + 1 + windows };
 }
 
-function startMap(
+function initialMap(
   shape: GroupShape,
   { startTokens, windows }: Trace,
 ): ExpertMap {
   return startTokens === undefined
     ? createEvenMap(shape)
-    : fitMap(shape, startTokens, ranksOf(windows[0]));
+    : fitMap(shape, startTokens, rankStateOf(windows[0]));
 }
 
-/** What each rank reports of a window, as its engine counts it. */
+/** The reports of a window that the ranks' engines would send. */
 export function reportsOf(
   map: ExpertMap,
   window: TraceWindow,
   index: number,
 ): readonly RankReport[] {
   const { ranks, layers, slotsPerRank, experts } = map.shape;
-  const times = rankTimes(map, window.tokens, ranksOf(window));
+  const times = rankTimes(map, window.tokens, rankStateOf(window));
   const replicas = Array.from({ length: layers }, (_, layer) =>
     countReplicas(map, layer),
   );
--- a/measure/skew.ts
+++ b/measure/skew.ts
@@ -1,7 +1,8 @@
 /**
  * `npm run measure -- skew [--trace NAME|FILE] [--policy P] [--seed N]
  * [--size small|large] [--ranks R] [--slots S] [--layers L] [--experts E]
- * [--windows W] [--skew-weight X] [--curve]`
+ * [--windows W] [--skew-weight X] [--repack-period N] [--curve]`: compares
+ * expert balancing policies on generated traces or one from a file.
  */
 import { parseArgs } from "node:util";
 import {
@@ -11,7 +12,7 @@
   type GroupShape,
   type MoveCosts,
 } from "../src/internal.js";
-import type { Measure } from "./measurements.js";
+import type { Measurement } from "./measurements.js";
 import {
   policies,
   requestPolicies,
@@ -26,7 +27,7 @@
 import { generateTrace, traceNames, type Trace } from "./traces.js";
 import { readTrace, toTrace } from "./traces-file.js";
 
-interface Size {
+interface SizePreset {
   readonly shape: GroupShape;
   readonly costs: MoveCosts;
 }
@@ -35,7 +36,7 @@
 const BYTES_PER_EXPERT = 44e6;
 const SWITCH_SECONDS = 0.05;
 
-const sizes: Readonly<Record<string, Size>> = {
+const sizePresets: Readonly<Record<string, SizePreset>> = {
   small: {
     shape: { ranks: 12, layers: 24, experts: 64, slotsPerRank: 8 },
     costs: {
@@ -73,7 +74,7 @@
 
 interface Options {
   readonly traces: readonly Trace[];
-  readonly size: Size;
+  readonly size: SizePreset;
   readonly settings: PolicySettings;
   readonly policyNames: readonly string[];
   readonly seed: number;
@@ -84,15 +85,15 @@
   readonly trace: string;
   readonly skewWeight: number;
   readonly lowerBound: number;
-  /** Of a map refitted for every window at no cost. */
+  /** Mean skew of a map that is refitted for each window at no cost. */
   readonly refittedSkew: number;
   readonly policies: Readonly<Record<string, RunResult>>;
 }
 
 const EXIT_USAGE = 2;
 
-/** A wrong option or trace is told in one line, which names it. */
-export const measureSkew: Measure = async (args) => {
+/** Reports an invalid option or trace in one line, without a stack trace. */
+export const measureSkew: Measurement = async (args) => {
   try {
     measureAll(await readOptions(args));
   } catch (thrown) {
@@ -107,7 +108,7 @@
   for (const trace of options.traces) {
     for (const skewWeight of curveWeights(options)) {
       const result = measureTrace(options, trace, skewWeight);
-      print(result);
+      printResult(result);
       results.push(result);
     }
   }
@@ -130,10 +131,10 @@
 ): TraceResult {
   const results: Record<string, RunResult> = {};
   for (const name of policyNames) {
-    const create = policies[name];
-    if (create === undefined) continue;
-    if (requestPolicies.has(name) && !hasRequests(trace)) continue;
-    const policy = create({ ...settings, skewWeight });
+    const createPolicy = policies[name];
+    if (createPolicy === undefined) continue;
+    if (requestPolicies.has(name) && !hasRequestWork(trace)) continue;
+    const policy = createPolicy({ ...settings, skewWeight });
     results[name] = runPolicy(size.shape, trace, policy, size.costs);
   }
   return {
@@ -145,22 +146,22 @@
   };
 }
 
-function hasRequests({ windows }: Trace): boolean {
+function hasRequestWork({ windows }: Trace): boolean {
   return windows.some(({ requestTokens }) =>
     requestTokens.some((work) => work > 0),
   );
 }
 
-const COLUMNS =
+const TABLE_HEADER =
   "policy           skew mean  settled   p99     whole-step  moves   GB       switches  plan ms mean/max";
 
-function print(result: TraceResult): void {
+function printResult(result: TraceResult): void {
   const { trace, skewWeight, lowerBound, refittedSkew } = result;
   console.log(`\n${trace}, skewWeight ${skewWeight}`);
   console.log(
     `lower bound ${lowerBound.toFixed(4)}, refitted for each window ${refittedSkew.toFixed(4)}`,
   );
-  console.log(COLUMNS);
+  console.log(TABLE_HEADER);
   for (const [name, run] of Object.entries(result.policies)) {
     const cells = [
       name.padEnd(17),
@@ -178,10 +179,10 @@
 }
 
 async function readOptions(args: readonly string[]): Promise<Options> {
-  const values = parse(args);
-  const seed = integer("seed", values.seed, 0);
-  const base = Object.hasOwn(sizes, values.size)
-    ? sizes[values.size]
+  const values = parseOptions(args);
+  const seed = parseInteger("seed", values.seed, 0);
+  const base = Object.hasOwn(sizePresets, values.size)
+    ? sizePresets[values.size]
     : raise(1804, { option: "size", value: values.size });
   const { traces, shape } = await readTraces(values, base.shape, seed);
   const size = { ...base, shape };
@@ -191,15 +192,15 @@
   const settings = {
     shape,
     costs: size.costs,
-    skewWeight: share("skew-weight", values["skew-weight"]),
-    repackPeriod: integer("repack-period", values["repack-period"], 1),
+    skewWeight: parseFraction("skew-weight", values["skew-weight"]),
+    repackPeriod: parseInteger("repack-period", values["repack-period"], 1),
   };
   const policyNames =
     values.policy === undefined ? Object.keys(policies) : [values.policy];
   return { traces, size, settings, policyNames, seed, curve: values.curve };
 }
 
-function parse(args: readonly string[]) {
+function parseOptions(args: readonly string[]) {
   try {
     return parseArgs({ args: [...args], options: optionTypes }).values;
   } catch (thrown) {
@@ -208,27 +209,39 @@
   }
 }
 
-type Values = ReturnType<typeof parse>;
+type OptionValues = ReturnType<typeof parseOptions>;
 
 async function readTraces(
-  values: Values,
+  values: OptionValues,
   base: GroupShape,
   seed: number,
 ): Promise<{ traces: readonly Trace[]; shape: GroupShape }> {
-  const ranks = integer("ranks", values.ranks ?? String(base.ranks), 1);
-  const slots = integer("slots", values.slots ?? String(base.slotsPerRank), 1);
-  const sized = { ranks, slotsPerRank: slots };
+  const ranks = parseInteger("ranks", values.ranks ?? String(base.ranks), 1);
+  const slots = parseInteger(
+    "slots",
+    values.slots ?? String(base.slotsPerRank),
+    1,
+  );
+  const rankShape = { ranks, slotsPerRank: slots };
   const { trace = "" } = values;
   if (trace !== "" && !traceNames.includes(trace)) {
     const parsed = await readTrace(trace);
     const { layers, experts } = parsed;
-    const shape = checked({ ...sized, layers, experts });
+    const shape = validShape({ ...rankShape, layers, experts });
     return { traces: [toTrace(trace, shape, parsed)], shape };
   }
-  const layers = integer("layers", values.layers ?? String(base.layers), 1);
-  const experts = integer("experts", values.experts ?? String(base.experts), 1);
-  const shape = checked({ ...sized, layers, experts });
-  const windows = integer("windows", values.windows, 1);
+  const layers = parseInteger(
+    "layers",
+    values.layers ?? String(base.layers),
+    1,
+  );
+  const experts = parseInteger(
+    "experts",
+    values.experts ?? String(base.experts),
+    1,
+  );
+  const shape = validShape({ ...rankShape, layers, experts });
+  const windows = parseInteger("windows", values.windows, 1);
   const names = trace === "" ? traceNames : [trace];
   const traces = names.flatMap(
     (name) => generateTrace(name, shape, windows, seed) ?? [],
@@ -236,22 +249,22 @@
   return { traces, shape };
 }
 
-function checked(shape: GroupShape): GroupShape {
+function validShape(shape: GroupShape): GroupShape {
   return checkShape(shape).caseOf({
     Left: (problem) => {
       throw problem;
     },
-    Right: (good) => good,
+    Right: (valid) => valid,
   });
 }
 
-function integer(option: string, text: string, least: number): number {
+function parseInteger(option: string, text: string, minimum: number): number {
   const value = Number(text);
-  if (Number.isInteger(value) && value >= least) return value;
+  if (Number.isInteger(value) && value >= minimum) return value;
   return raise(1804, { option, value: text });
 }
 
-function share(option: string, text: string): number {
+function parseFraction(option: string, text: string): number {
   const value = Number(text);
   if (value >= 0 && value <= 1) return value;
   return raise(1804, { option, value: text });
--- a/measure/slopes-fit.ts
+++ b/measure/slopes-fit.ts
@@ -1,4 +1,4 @@
-/** Least squares of a cost against a size, and the cost of one operation. */
+/** Least-squares fits, and the processor time and memory of an operation. */
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 
@@ -8,13 +8,13 @@
 }
 
 export interface Slope {
-  /** Cost of one more of what the size counts. */
+  /** Slope: cost per unit of size. */
   readonly perUnit: number;
-  /** Cost at size zero, by the fit. */
+  /** Intercept: fitted cost at size zero. */
   readonly fixed: number;
-  /** Largest distance of a point from the line, over the largest cost. */
+  /** Largest absolute residual over the largest cost. */
   readonly largestResidual: number;
-  /** Share of the variance that the line explains. */
+  /** Coefficient of determination (R²). */
   readonly explained: number;
 }
 
@@ -35,33 +35,33 @@
   const residuals = points.map(
     ({ size, cost }) => cost - (fixed + perUnit * size),
   );
-  const squared = residuals.reduce((sum, value) => sum + value * value, 0);
+  const squaredError = residuals.reduce((sum, value) => sum + value * value, 0);
   const largestCost = Math.max(...points.map(({ cost }) => Math.abs(cost)));
-  const largest = Math.max(...residuals.map(Math.abs));
+  const largestResidual = Math.max(...residuals.map(Math.abs));
   return {
     perUnit,
     fixed,
-    largestResidual: largestCost > 0 ? largest / largestCost : 0,
-    explained: costVariance > 0 ? 1 - squared / costVariance : 1,
+    largestResidual: largestCost > 0 ? largestResidual / largestCost : 0,
+    explained: costVariance > 0 ? 1 - squaredError / costVariance : 1,
   };
 }
 
-const MEASURED_MS = 150;
+const ROUND_MS = 150;
 const ROUNDS = 3;
 
-/** Processor time of one call in microseconds: the least of a few rounds. */
+/** Processor time of one call in microseconds: the minimum of a few rounds. */
 export function processorMicroseconds(operation: () => void): number {
   operation();
-  let least = Infinity;
+  let minimum = Infinity;
   for (let round = 0; round < ROUNDS; round++) {
-    least = Math.min(least, oneRound(operation));
+    minimum = Math.min(minimum, measureRound(operation));
   }
-  return least;
+  return minimum;
 }
 
-function oneRound(operation: () => void): number {
+function measureRound(operation: () => void): number {
   const started = process.cpuUsage();
-  const endAt = performance.now() + MEASURED_MS;
+  const endAt = performance.now() + ROUND_MS;
   let calls = 0;
   do {
     operation();
@@ -71,20 +71,20 @@
   return (user + system) / calls;
 }
 
-/** Several at once, so that what the collector leaves behind counts little. */
-const KEPT_COPIES = 8;
+/** Several copies, so that garbage left after a collection matters little. */
+const RETAINED_COPIES = 8;
 
-/** Bytes of memory that the result of a call holds on to. */
+/** Memory in bytes that the result of a call retains. */
 export function retainedBytes(create: () => unknown): number {
   create();
-  const before = settledBytes();
-  const kept = Array.from({ length: KEPT_COPIES }, create);
-  const bytes = settledBytes() - before;
-  return bytes / kept.length;
+  const before = usedBytesAfterCollection();
+  const copies = Array.from({ length: RETAINED_COPIES }, create);
+  const bytes = usedBytesAfterCollection() - before;
+  return bytes / copies.length;
 }
 
-/** Memory in use after a collection. */
-export function settledBytes(): number {
+/** Heap and external memory in use after garbage collection. */
+export function usedBytesAfterCollection(): number {
   collectGarbage();
   return usedBytes();
 }
--- a/measure/slopes-parts.ts
+++ b/measure/slopes-measurements.ts
@@ -1,4 +1,4 @@
-/** What is measured at which sizes. */
+/** The costs that the slopes measurement covers, with their sizes. */
 import { processorMicroseconds, retainedBytes } from "./slopes-fit.js";
 import { sessionRound } from "./slopes-sessions.js";
 import {
@@ -6,26 +6,26 @@
   heartbeatBytes,
   reportBytes,
   heartbeatRound,
-  publicationOf,
-  claimRecords,
-  accountLimitsOf,
+  createPublication,
+  createClaimRecords,
+  createAccountLimits,
   applyClaims,
   applyPublication,
-  placementOf,
+  createPlacement,
   reportRound,
-  planFrom,
-  balancerOf,
+  planRound,
+  createBalancer,
   feedRound,
-} from "./slopes-subjects.js";
+} from "./slopes-workloads.js";
 
 /** One cost measured at several sizes. */
-export interface SlopePart {
+export interface SlopeMeasurement {
   readonly name: string;
   /** What the size counts. */
   readonly sizeUnit: string;
   readonly costUnit: string;
   readonly sizes: readonly number[];
-  /** Size that the letter of the users asks for. */
+  /** Size for which the fit predicts the cost: the required deployment size. */
   readonly targetSize: number;
   readonly measure: (size: number) => number;
 }
@@ -35,7 +35,7 @@
 const CLAIMS = [2000, 4000, 8000, 16_000];
 const EXPERTS = [16, 32, 64, 128];
 
-export const slopeParts: readonly SlopePart[] = [
+export const slopeMeasurements: readonly SlopeMeasurement[] = [
   {
     name: "heartbeat-processor",
     sizeUnit: "peers",
@@ -75,7 +75,7 @@
     costUnit: "bytes",
     sizes: PEERS,
     targetSize: 820,
-    measure: (runners) => retainedBytes(() => placementOf(runners)),
+    measure: (runners) => retainedBytes(() => createPlacement(runners)),
   },
   {
     name: "placement-decision",
@@ -84,7 +84,7 @@
     sizes: PEERS,
     targetSize: 820,
     measure: (runners) => {
-      const placement = placementOf(runners);
+      const placement = createPlacement(runners);
       return processorMicroseconds(() => {
         placement.choose(REQUEST);
       });
@@ -97,7 +97,7 @@
     sizes: ACCOUNTS,
     targetSize: 1100,
     measure: (accounts) => {
-      const record = publicationOf(accounts);
+      const record = createPublication(accounts);
       return processorMicroseconds(() => {
         applyPublication(record);
       });
@@ -109,7 +109,7 @@
     costUnit: "bytes a change",
     sizes: ACCOUNTS,
     targetSize: 1100,
-    measure: (accounts) => publicationOf(accounts).data.length,
+    measure: (accounts) => createPublication(accounts).data.length,
   },
   {
     name: "configuration-memory",
@@ -118,7 +118,7 @@
     sizes: ACCOUNTS,
     targetSize: 1100,
     measure: (accounts) => {
-      const record = publicationOf(accounts);
+      const record = createPublication(accounts);
       return retainedBytes(() => applyPublication(record));
     },
   },
@@ -128,7 +128,7 @@
     costUnit: "bytes",
     sizes: ACCOUNTS,
     targetSize: 1100,
-    measure: (accounts) => retainedBytes(() => accountLimitsOf(accounts)),
+    measure: (accounts) => retainedBytes(() => createAccountLimits(accounts)),
   },
   {
     name: "claims-processor",
@@ -137,7 +137,7 @@
     sizes: CLAIMS,
     targetSize: 16_000,
     measure: (claims) => {
-      const records = claimRecords(claims);
+      const records = createClaimRecords(claims);
       return processorMicroseconds(() => {
         applyClaims(records);
       });
@@ -150,7 +150,7 @@
     sizes: CLAIMS,
     targetSize: 16_000,
     measure: (claims) => {
-      const records = claimRecords(claims);
+      const records = createClaimRecords(claims);
       return retainedBytes(() => applyClaims(records));
     },
   },
@@ -161,7 +161,10 @@
     sizes: CLAIMS,
     targetSize: 16_000,
     measure: (claims) =>
-      claimRecords(claims).reduce((sum, { data }) => sum + data.length, 0),
+      createClaimRecords(claims).reduce(
+        (sum, { data }) => sum + data.length,
+        0,
+      ),
   },
   {
     name: "feed-processor",
@@ -177,7 +180,7 @@
     costUnit: "µs a plan",
     sizes: EXPERTS,
     targetSize: 128,
-    measure: (experts) => processorMicroseconds(planFrom(experts)),
+    measure: (experts) => processorMicroseconds(planRound(experts)),
   },
   {
     name: "balancer-memory",
@@ -185,6 +188,6 @@
     costUnit: "bytes",
     sizes: EXPERTS,
     targetSize: 128,
-    measure: (experts) => retainedBytes(() => balancerOf(experts)),
+    measure: (experts) => retainedBytes(() => createBalancer(experts)),
   },
 ];
--- a/measure/slopes-sessions.ts
+++ b/measure/slopes-sessions.ts
@@ -1,4 +1,4 @@
-/** The entry's session machine at several numbers of agents. */
+/** Workload for the entry's session state machine. */
 import {
   createRandom,
   EntrySessions,
@@ -6,12 +6,12 @@
   SESSION_LIMITS,
 } from "../src/internal.js";
 
-/** Any time will do, as long as it rises. */
+/** Arbitrary start time; only the differences matter. */
 const START_MS = 1_700_000_000_000;
 
 /**
- * The entry's session machine over one heartbeat period: each agent is heard
- * and gets a heartbeat. No codec and no socket.
+ * One heartbeat period of the entry's session state machine: a heartbeat arrives
+ * from each agent and one is sent to each. Excludes codec and sockets.
  */
 export function sessionRound(agents: number): () => void {
   let now = START_MS;
@@ -58,6 +58,6 @@
     now,
   );
   if (!sessions.status().sessions.every(({ live }) => live)) {
-    throw new TypeError("session not opened");
+    throw new TypeError("the session did not open");
   }
 }
--- a/measure/slopes-sockets.ts
+++ b/measure/slopes-sockets.ts
@@ -1,7 +1,8 @@
 /**
- * What one idle session costs on real sockets: entry and agent side in this
- * process, a heartbeat with a load report each way and period on every session. Bytes
- * are counted by a relay between the two.
+ * Cost of idle sessions on real sockets, with the entry and the agent side in
+ * this process. In every heartbeat period the entry sends a heartbeat on each
+ * session, and the agent answers with a heartbeat and a load report. A relay
+ * between the two counts the bytes.
  */
 import {
   createServer,
@@ -23,16 +24,15 @@
   type AgentBatch,
   type EntryBatch,
 } from "../src/wire/generated/session.js";
-
 import { SESSION_LIMITS } from "../src/internal.js";
-import { settledBytes } from "./slopes-fit.js";
+import { usedBytesAfterCollection } from "./slopes-fit.js";
 
 export interface SessionCost {
-  /** Processor time of both ends, µs for each second and session. */
+  /** Processor time of both ends for all sessions, in µs a second. */
   readonly processorMicroseconds: number;
-  /** Memory of both ends. */
+  /** Memory that all sessions retain at both ends. */
   readonly bytes: number;
-  /** TCP payload both ways for each second and session. */
+  /** TCP payload in both directions for all sessions, in bytes a second. */
   readonly wireBytes: number;
 }
 
@@ -50,20 +50,22 @@
   stepMs: 6,
 };
 
-/** Cost of `sessions` idle sessions for each second, all together. */
+/** Measures the total cost of `sessions` idle sessions. */
 export async function measureSessions(sessions: number): Promise<SessionCost> {
   const server = await startAgent();
   const relay = await startRelay(server.port);
-  const before = settledBytes();
-  const clients = Array.from({ length: sessions }, () => open(relay.port));
+  const memoryBefore = usedBytesAfterCollection();
+  const closeSessions = Array.from({ length: sessions }, () =>
+    openSession(relay.port),
+  );
   await sleep(SETTLE_MS);
-  const bytes = settledBytes() - before;
-  const processor = process.cpuUsage();
-  const transferred = relay.bytes();
+  const bytes = usedBytesAfterCollection() - memoryBefore;
+  const cpuBefore = process.cpuUsage();
+  const bytesBefore = relay.bytes();
   await sleep(MEASURED_SECONDS * 1000);
-  const { user, system } = process.cpuUsage(processor);
-  const wireBytes = (relay.bytes() - transferred) / MEASURED_SECONDS;
-  for (const close of clients) close();
+  const { user, system } = process.cpuUsage(cpuBefore);
+  const wireBytes = (relay.bytes() - bytesBefore) / MEASURED_SECONDS;
+  for (const close of closeSessions) close();
   server.stop();
   relay.stop();
   const processorMicroseconds = (user + system) / MEASURED_SECONDS;
@@ -78,8 +80,8 @@
         const [{ body }] = frames;
         if (body?.$case !== "heartbeat") return;
         const load = { $case: "load" as const, value: LOAD };
-        const answer = [{ body }, { body: load }];
-        stream.write({ clock: CLOCK, frames: answer });
+        const reply = [{ body }, { body: load }];
+        stream.write({ clock: CLOCK, frames: reply });
       });
       stream.on("error", () => undefined);
       stream.on("end", () => {
@@ -112,10 +114,10 @@
   readonly stop: () => void;
 }
 
-async function startRelay(target: number): Promise<Relay> {
+async function startRelay(targetPort: number): Promise<Relay> {
   let bytes = 0;
   const sockets = new Set<Socket>();
-  const join = (from: Socket, to: Socket): void => {
+  const forward = (from: Socket, to: Socket): void => {
     sockets.add(from);
     from.on("data", (data) => {
       bytes += data.length;
@@ -127,9 +129,9 @@
     });
   };
   const relay: RelayServer = createServer((socket) => {
-    const onward = connect(target, "127.0.0.1");
-    join(socket, onward);
-    join(onward, socket);
+    const upstream = connect(targetPort, "127.0.0.1");
+    forward(socket, upstream);
+    forward(upstream, socket);
   });
   await new Promise<void>((resolve) => {
     relay.listen(0, "127.0.0.1", resolve);
@@ -142,7 +144,7 @@
   return { port, bytes: () => bytes, stop };
 }
 
-function open(port: number): () => void {
+function openSession(port: number): () => void {
   const client = new AgentClient(
     `127.0.0.1:${port}`,
     credentials.createInsecure(),
--- a/measure/slopes-subjects.ts
+++ b/measure/slopes-workloads.ts
@@ -1,4 +1,4 @@
-/** The real modules of the product that the slopes are measured on, by size. */
+/** Workloads of a given size on the product's own modules, for the slopes. */
 import {
   AccountLimits,
   applyRecord,
@@ -51,7 +51,7 @@
   return AgentBatch.encode({ clock: CLOCK, frames }).finish();
 }
 
-/** One round of heartbeats with every peer, and the decoding of its reports. */
+/** Encodes one heartbeat to every peer and decodes each peer's answer. */
 export function heartbeatRound(peers: number): () => void {
   const answer = reportBytes(7);
   return () => {
@@ -62,7 +62,7 @@
   };
 }
 
-function configurationOf(accounts: number): Configuration {
+function createConfiguration(accounts: number): Configuration {
   return {
     profiles: Array.from({ length: 80 }, (_, index) => ({
       name: `profile-${index}`,
@@ -93,7 +93,7 @@
   };
 }
 
-export function publicationOf(accounts: number): LogRecord {
+export function createPublication(accounts: number): LogRecord {
   const data = encodeEnvelope({
     kind: "publication",
     basedOn: null,
@@ -101,20 +101,21 @@
     formatVersion: 1,
     nonce: "nonce",
     author: "operator",
-    configuration: configurationOf(accounts),
+    configuration: createConfiguration(accounts),
   });
   return { offset: 0, appendedAtMs: 1, data };
 }
 
-/** The state of a reader after the publication, which has to be accepted. */
+/** Applies a publication to the initial state; throws if it is rejected. */
 export function applyPublication(record: LogRecord): ConfigurationState {
   const { state } = applyRecord(initialConfigurationState, record);
-  if (state.inForce === null) throw new TypeError("publication refused");
+  if (state.inForce === null)
+    throw new TypeError("the publication was rejected");
   return state;
 }
 
-/** Limits that every account has made use of. */
-export function accountLimitsOf(accounts: number): AccountLimits {
+/** Account limits that hold state for every account. */
+export function createAccountLimits(accounts: number): AccountLimits {
   const limits = AccountLimits.create(
     () => CLOCK.physicalMs,
     () => 320,
@@ -126,15 +127,15 @@
   return limits;
 }
 
-const CLAIMS_A_BATCH = 20;
+const CLAIMS_PER_BATCH = 20;
 
-function claim(index: number): ClaimEntry {
+function createClaim(index: number): ClaimEntry {
   const time = CLOCK.physicalMs.toString(16).padStart(12, "0");
-  const tail = index.toString(16).padStart(12, "0");
+  const suffix = index.toString(16).padStart(12, "0");
   return {
     kind: "claim",
     account: `account-${index % 1100}`,
-    key: `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${tail}`,
+    key: `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${suffix}`,
     generation: 1,
     attempt: `attempt-${index}`,
     entry: "entry-17",
@@ -144,11 +145,11 @@
   };
 }
 
-export function claimRecords(claims: number): readonly LogRecord[] {
-  return Array.from({ length: claims / CLAIMS_A_BATCH }, (_, batch) => {
-    const first = batch * CLAIMS_A_BATCH;
-    const entries = Array.from({ length: CLAIMS_A_BATCH }, (__, index) =>
-      claim(first + index),
+export function createClaimRecords(claims: number): readonly LogRecord[] {
+  return Array.from({ length: claims / CLAIMS_PER_BATCH }, (_, batch) => {
+    const first = batch * CLAIMS_PER_BATCH;
+    const entries = Array.from({ length: CLAIMS_PER_BATCH }, (__, index) =>
+      createClaim(first + index),
     );
     const nonce = `nonce-${batch}`;
     const data = encodeClaimBatch({ kind: "claims", nonce, entries });
@@ -170,7 +171,7 @@
   prefix: [],
 };
 
-export function placementOf(runners: number): Placement {
+export function createPlacement(runners: number): Placement {
   const placement = Placement.create({
     now: () => CLOCK.physicalMs,
     random: createRandom(1),
@@ -200,7 +201,7 @@
 }
 
 export function reportRound(runners: number): () => void {
-  const placement = placementOf(runners);
+  const placement = createPlacement(runners);
   const load: RunnerLoad = LOAD;
   return () => {
     for (let index = 0; index < runners; index++) {
@@ -211,17 +212,17 @@
 
 const PLANNED_LAYERS = 60;
 const SLOTS_PER_RANK = 3;
-const FILLING_WINDOWS = 30;
+const HISTORY_WINDOWS = 30;
 
-function shapeOf(experts: number) {
+function groupShape(experts: number) {
   const ranks = experts / 2;
   const slotsPerRank = SLOTS_PER_RANK;
   return { ranks, layers: PLANNED_LAYERS, experts, slotsPerRank };
 }
 
-/** The planner at work: nothing of the map fits the load. */
-export function planFrom(experts: number): () => void {
-  const shape = shapeOf(experts);
+/** Plans from an even map, which isn't fitted to the load at all. */
+export function planRound(experts: number): () => void {
+  const shape = groupShape(experts);
   const [window] = generateTrace("steady", shape, 1, 1)?.windows ?? [];
   const planner = Planner.create(shape);
   const variance = window.tokens.map((tokens) => tokens * 0.3);
@@ -243,13 +244,13 @@
   };
 }
 
-/** A balancer that has seen enough windows to fill its history. */
-export function balancerOf(experts: number): Balancer {
-  const shape = shapeOf(experts);
+/** A balancer whose history of windows is full. */
+export function createBalancer(experts: number): Balancer {
+  const shape = groupShape(experts);
   const map = createEvenMap(shape);
   const balancer = Balancer.create(shape, ignoreEvents);
   const tokens = new Float64Array(shape.layers * SLOTS_PER_RANK).fill(1000);
-  for (let window = 0; window < FILLING_WINDOWS; window++) {
+  for (let window = 0; window < HISTORY_WINDOWS; window++) {
     const reports = Array.from({ length: shape.ranks }, (_, rank) => ({
       rank,
       window,
@@ -263,9 +264,9 @@
   return balancer;
 }
 
-/** One answer of the feed, encoded for each reader. */
+/** Encodes one batch of the configuration feed for each reader. */
 export function feedRound(readers: number): () => void {
-  const { offset, appendedAtMs, data } = publicationOf(1100);
+  const { offset, appendedAtMs, data } = createPublication(1100);
   const records = [{ offset, appendedAtMs, data: Buffer.from(data) }];
   const batch = {
     clock: CLOCK,
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -1,11 +1,11 @@
 /**
- * `npm run measure -- slopes [--only NAME]`: cost against size, by least
- * squares over four or more sizes, for docs/CAPACITY.md.
+ * `npm run measure -- slopes [--only NAME]`: least-squares fits of cost
+ * against size, over four or more sizes each, for docs/CAPACITY.md.
  */
 import { parseArgs } from "node:util";
-import type { Measure } from "./measurements.js";
+import type { Measurement } from "./measurements.js";
 import { fitLine, type Point, type Slope } from "./slopes-fit.js";
-import { slopeParts } from "./slopes-parts.js";
+import { slopeMeasurements } from "./slopes-measurements.js";
 import { measureSessions, type SessionCost } from "./slopes-sockets.js";
 
 interface SlopeResult extends Slope {
@@ -17,26 +17,26 @@
   readonly atTarget: number;
 }
 
-const SESSIONS = [50, 100, 200, 400];
-/** Compiles the code that the counted runs use. */
+const SESSION_COUNTS = [50, 100, 200, 400];
+/** Sessions of a warm-up run, which isn't counted, so that the code is compiled. */
 const WARM_UP_SESSIONS = 100;
 
-const sessionCosts: Readonly<Record<keyof SessionCost, string>> = {
+const sessionCostUnits: Readonly<Record<keyof SessionCost, string>> = {
   processorMicroseconds: "µs a second",
   bytes: "bytes",
   wireBytes: "bytes a second",
 };
 
-export const measureSlopes: Measure = async (args) => {
+export const measureSlopes: Measurement = async (args) => {
   const { values } = parseArgs({
     args: [...args],
     options: { only: { type: "string", default: "" } },
   });
-  const results = slopeParts
+  const results = slopeMeasurements
     .filter(({ name }) => name.includes(values.only))
     .map(({ measure, ...part }) => {
       const points = part.sizes.map((size) => ({ size, cost: measure(size) }));
-      return report({ ...part, points });
+      return reportSlope({ ...part, points });
     });
   const sessions = "session".includes(values.only)
     ? await measureSessionSlopes()
@@ -48,19 +48,19 @@
 async function measureSessionSlopes(): Promise<readonly SlopeResult[]> {
   const costs: { size: number; cost: SessionCost }[] = [];
   await measureSessions(WARM_UP_SESSIONS);
-  for (const size of SESSIONS) {
+  for (const size of SESSION_COUNTS) {
     costs.push({ size, cost: await measureSessions(size) });
   }
-  return Object.entries(sessionCosts).map(([field, costUnit]) => {
+  return Object.entries(sessionCostUnits).map(([field, costUnit]) => {
     const key = field as keyof SessionCost;
     const points = costs.map(({ size, cost }) => ({ size, cost: cost[key] }));
     const name = `session-${field}`;
     const sizeUnit = "sessions, both ends";
-    return report({ name, sizeUnit, costUnit, points, targetSize: 820 });
+    return reportSlope({ name, sizeUnit, costUnit, points, targetSize: 820 });
   });
 }
 
-function report(
+function reportSlope(
   part: Pick<
     SlopeResult,
     "name" | "sizeUnit" | "costUnit" | "points" | "targetSize"
@@ -75,7 +75,7 @@
   console.log(`${part.name} (${part.costUnit} by ${part.sizeUnit})`);
   console.log(`  ${measured}`);
   console.log(
-    `  ${slope.perUnit.toPrecision(4)} each + ${slope.fixed.toPrecision(4)}; explained ${slope.explained.toFixed(4)}, largest residual ${(slope.largestResidual * 100).toFixed(1)}%; at ${part.targetSize}: ${atTarget.toPrecision(4)}`,
+    `  ${slope.perUnit.toPrecision(4)} per unit + ${slope.fixed.toPrecision(4)}; R² ${slope.explained.toFixed(4)}, largest residual ${(slope.largestResidual * 100).toFixed(1)}%; at ${part.targetSize}: ${atTarget.toPrecision(4)}`,
   );
   return result;
 }
--- a/measure/support/choosers.ts
+++ b/measure/support/choosers.ts
@@ -1,4 +1,4 @@
-/** Ways to choose a runner: the baselines and the product's. */
+/** Runner selection policies: the product's Placement and simple baselines. */
 import { Right } from "purify-ts/Either";
 import {
   defaultPlacementSettings,
@@ -15,7 +15,7 @@
   type RunnerDescription,
 } from "../../src/internal.js";
 
-/** What an entry asks and tells; the product's class has these methods. */
+/** The methods of Placement that an entry uses; baselines implement them, too. */
 export type Chooser = Pick<
   Placement,
   | "choose"
@@ -51,34 +51,42 @@
   };
 }
 
-/** Picks an index by the own requests in flight at each runner. */
+/** Picks a runner's index from this entry's requests in flight at each runner. */
 type PickRunner = (inFlight: Int32Array, random: Random) => number;
 
-/** A baseline that knows its own requests in flight and nothing else. */
-function simple(createPick: () => PickRunner): CreateChooser {
+/** A baseline that knows only its own requests in flight. */
+function baselineChooser(createPick: () => PickRunner): CreateChooser {
   return ({ random, runners, settings, dataCentre }) => {
-    const site = { ...defaultPlacementSettings(dataCentre), ...settings };
+    const placementSettings = {
+      ...defaultPlacementSettings(dataCentre),
+      ...settings,
+    };
     const pick = createPick();
     const inFlight = new Int32Array(runners.length);
     const indexes = new Map(
       runners.map(({ runner }, index) => [runner, index]),
     );
-    const count = ({ choice }: Placed, by: number): void => {
-      inFlight[indexes.get(choice.runner) ?? 0] += by;
+    const addInFlight = ({ choice }: Placed, change: number): void => {
+      inFlight[indexes.get(choice.runner) ?? 0] += change;
     };
     const release = (placed: Placed): void => {
-      count(placed, -1);
+      addInFlight(placed, -1);
     };
     const ignore = (): void => undefined;
     return {
       choose: (request) => {
-        const index = pickAllowed(pick, inFlight, random, runners, request);
+        const index = pickNotExcluded(pick, inFlight, random, runners, request);
         return Right(
-          plainChoice(runners[index], inFlight[index], request, site),
+          baselineChoice(
+            runners[index],
+            inFlight[index],
+            request,
+            placementSettings,
+          ),
         );
       },
       onStarted: (placed) => {
-        count(placed, 1);
+        addInFlight(placed, 1);
       },
       onEnded: release,
       onFailed: release,
@@ -89,24 +97,24 @@
   };
 }
 
-/** Tries again when the runner has already broken this request. */
-function pickAllowed(
+/** Redraws at random while the pick is a runner that failed this request. */
+function pickNotExcluded(
   pick: PickRunner,
   inFlight: Int32Array,
   random: Random,
   runners: readonly RunnerDescription[],
   { excluded }: PlacementRequest,
 ): number {
-  const MOST_TRIES = 20;
+  const MAXIMUM_PICKS = 20;
   let index = pick(inFlight, random);
-  for (let tries = 0; tries < MOST_TRIES; tries += 1) {
+  for (let picks = 0; picks < MAXIMUM_PICKS; picks += 1) {
     if (excluded?.includes(runners[index].runner) !== true) return index;
     index = randomBelow(random, runners.length);
   }
   return index;
 }
 
-function plainChoice(
+function baselineChoice(
   { runner, group, slots }: RunnerDescription,
   inFlight: number,
   { promptTokens, outputTokens }: PlacementRequest,
@@ -125,7 +133,7 @@
   };
 }
 
-export const roundRobin = simple(() => {
+export const roundRobin = baselineChooser(() => {
   let next = 0;
   return (inFlight) => {
     next = (next + 1) % inFlight.length;
@@ -133,11 +141,11 @@
   };
 });
 
-export const randomChoice = simple(
+export const randomChoice = baselineChooser(
   () => (inFlight, random) => randomBelow(random, inFlight.length),
 );
 
-export const leastInFlight = simple(() => (inFlight, random) => {
+export const leastInFlight = baselineChooser(() => (inFlight, random) => {
   const start = randomBelow(random, inFlight.length);
   let best = start;
   for (let step = 1; step < inFlight.length; step += 1) {
@@ -147,7 +155,7 @@
   return best;
 });
 
-export const twoChoices = simple(() => (inFlight, random) => {
+export const twoChoices = baselineChooser(() => (inFlight, random) => {
   const first = randomBelow(random, inFlight.length);
   const second = randomBelow(random, inFlight.length);
   return inFlight[second] < inFlight[first] ? second : first;
--- a/measure/support/entries.ts
+++ b/measure/support/entries.ts
@@ -1,4 +1,4 @@
-/** Two ways to take callers' requests in: the product's and a plain queue. */
+/** Entry models: the product's admission, and a plain FIFO queue as a baseline. */
 import {
   Admission,
   createRandom,
@@ -21,116 +21,128 @@
 export interface Outcome {
   readonly call: Call;
   readonly kind: "answered" | "late" | "refused" | "failed";
-  /** Time from the call to its answer's end or its refusal. */
+  /** Time from the call to the end of its answer, or to its refusal. */
   readonly durationMs: number;
   readonly firstTokenMs: number;
   readonly retryAfterMs: number;
 }
 
-export type Finish = (outcome: Outcome) => void;
+export type OnOutcome = (outcome: Outcome) => void;
 
 export interface Entry {
-  readonly onCall: (call: Call, finish: Finish) => void;
+  readonly onCall: (call: Call, onOutcome: OnOutcome) => void;
 }
 
 export type CreateEntry = (site: Site, entry: number) => Entry;
 
-/** Unit of an admission tick; a queued request starts this late at most. */
-const TICK_MS = 10;
+/** Period of the queue drain; delays a queued request by at most this much. */
+const DRAIN_PERIOD_MS = 10;
 const MAXIMUM_WAIT_MS = 30_000;
 const MAXIMUM_QUEUE_TOKENS = 2_000_000;
-const CONCURRENCY = 100_000;
-const PLAIN_QUEUE = 1000;
-const PLAIN_ATTEMPTS = 4;
+const MAXIMUM_CONCURRENCY = 100_000;
+const PLAIN_QUEUE_CAPACITY = 1000;
+const PLAIN_MAXIMUM_ATTEMPTS = 4;
 
-interface Open {
+interface OpenCall {
   readonly call: Call;
-  readonly finish: Finish;
+  readonly onOutcome: OnOutcome;
   attempts: number;
   excluded: readonly string[];
   firstTokenMs: number;
 }
 
-function open(call: Call, finish: Finish): Open {
-  return { call, finish, attempts: 0, excluded: [], firstTokenMs: 0 };
+function createOpenCall(call: Call, onOutcome: OnOutcome): OpenCall {
+  return {
+    call,
+    onOutcome,
+    attempts: 0,
+    excluded: [],
+    firstTokenMs: 0,
+  };
 }
 
-function conclude(
+function reportOutcome(
   site: Site,
-  { call, finish, firstTokenMs }: Open,
+  { call, onOutcome, firstTokenMs }: OpenCall,
   kind: "done" | "refused" | "failed",
   retryAfterMs = 0,
 ): void {
-  const durationMs = site.time.nowMs - call.atMs;
+  const durationMs = site.clock.nowMs - call.atMs;
   const inTime = durationMs <= call.deadlineMs;
-  const done = inTime ? "answered" : "late";
-  const outcome = kind === "done" ? done : kind;
-  finish({ call, kind: outcome, durationMs, firstTokenMs, retryAfterMs });
+  const doneKind = inTime ? "answered" : "late";
+  const outcomeKind = kind === "done" ? doneKind : kind;
+  onOutcome({
+    call,
+    kind: outcomeKind,
+    durationMs,
+    firstTokenMs,
+    retryAfterMs,
+  });
 }
 
-function send(
+function sendAttempt(
   site: Site,
   entry: number,
-  item: Open,
+  openCall: OpenCall,
   choice: Choice,
-  on: {
+  callbacks: {
     readonly ended: (durationMs: number) => void;
     readonly failed: () => void;
     readonly refused: () => void;
   },
 ): void {
-  const { call, excluded } = item;
+  const { call, excluded } = openCall;
   const request = placementRequest(call, call.outputTokens, excluded);
-  item.attempts += 1;
-  const sentAtMs = site.time.nowMs;
+  openCall.attempts += 1;
+  const sentAtMs = site.clock.nowMs;
   site.send(entry, {
     call,
     placed: { request, choice },
     onFirstToken: () => {
-      item.firstTokenMs = site.time.nowMs - call.atMs;
+      openCall.firstTokenMs = site.clock.nowMs - call.atMs;
     },
     onEnded: () => {
-      on.ended(site.time.nowMs - sentAtMs);
+      callbacks.ended(site.clock.nowMs - sentAtMs);
     },
     onFailed: () => {
-      item.excluded = [...item.excluded, choice.runner].slice(-2);
-      on.failed();
+      openCall.excluded = [...openCall.excluded, choice.runner].slice(-2);
+      callbacks.failed();
     },
-    onRefused: on.refused,
+    onRefused: callbacks.refused,
   });
 }
 
-/** Admission, placement and the retry allowance as an entry uses them. */
+/** Combines admission, placement and the retry allowance as a real entry does. */
 export function createAdmittedEntry(
   site: Site,
   entry: number,
   tuning: Partial<AdmissionTuning> = {},
 ): Entry {
-  const openItems = new Map<string, Open>();
+  const openCalls = new Map<string, OpenCall>();
   const random = createRandom(site.settings.seed * 7919 + entry);
   const estimate = OutputEstimate.create();
   const emit = ignoreEvents;
   const retries = RetryAllowance.create({ pool: POOL, random, emit });
 
   const start = (request: AdmissionRequest): boolean => {
-    const item = openItems.get(request.id);
-    if (item === undefined) return true;
-    const { call } = item;
+    const openCall = openCalls.get(request.id);
+    if (openCall === undefined) return true;
+    const { call } = openCall;
     const output = estimate.expect(call.account, call.profile);
-    const wanted = placementRequest(call, output, item.excluded);
-    const choice = site.choose(entry, wanted);
+    const placementInput = placementRequest(call, output, openCall.excluded);
+    const choice = site.choose(entry, placementInput);
     if (!choice.hasRoom) return false;
-    send(site, entry, item, choice, {
+    sendAttempt(site, entry, openCall, choice, {
       ended: (durationMs) => {
         const { account, profile, promptTokens, outputTokens } = call;
         estimate.onAnswered(account, profile, outputTokens);
         retries.onSuccess();
-        close(item, "done");
+        close(openCall, "done");
         const costTokens = promptTokens + outputTokens;
         admission.onEnded(request, { costTokens, durationMs });
       },
       failed: () => {
-        retry(item, request);
+        retry(openCall, request);
       },
       refused: () => {
         admission.putBack(request);
@@ -140,51 +152,51 @@
     return true;
   };
 
-  const retry = (item: Open, request: AdmissionRequest): void => {
-    const delayMs = retries.spend(item.attempts);
+  const retry = (openCall: OpenCall, request: AdmissionRequest): void => {
+    const delayMs = retries.spend(openCall.attempts);
     if (delayMs === undefined) {
-      close(item, "failed");
+      close(openCall, "failed");
       admission.onEnded(request, { costTokens: 0, durationMs: undefined });
       return;
     }
-    site.time.after(delayMs, () => {
+    site.clock.schedule(delayMs, () => {
       admission.putBack(request);
       admission.drain(POOL);
     });
   };
 
   const close = (
-    item: Open,
+    openCall: OpenCall,
     kind: "done" | "refused" | "failed",
     retryAfterMs = 1000,
   ): void => {
-    openItems.delete(item.call.id);
-    conclude(site, item, kind, retryAfterMs);
+    openCalls.delete(openCall.call.id);
+    reportOutcome(site, openCall, kind, retryAfterMs);
   };
 
   const admission = Admission.create({
-    now: () => site.time.nowMs,
+    now: () => site.clock.nowMs,
     random,
     emit,
     entries: () => site.settings.entries,
     tuning,
     start,
     giveUp: ({ id }, { retryAfterMs }) => {
-      const item = openItems.get(id);
-      if (item !== undefined) close(item, "refused", retryAfterMs);
+      const openCall = openCalls.get(id);
+      if (openCall !== undefined) close(openCall, "refused", retryAfterMs);
     },
   });
-  site.time.every(TICK_MS, random() * TICK_MS, () => {
+  site.clock.scheduleEvery(DRAIN_PERIOD_MS, random() * DRAIN_PERIOD_MS, () => {
     if (admission.waitingCount > 0) admission.drain(POOL);
   });
   return {
-    onCall: (call, finish) => {
-      const item = open(call, finish);
-      openItems.set(call.id, item);
+    onCall: (call, onOutcome) => {
+      const openCall = createOpenCall(call, onOutcome);
+      openCalls.set(call.id, openCall);
       const output = estimate.expect(call.account, call.profile);
       const offer = admission.offer(admissionRequest(call, output));
       if (offer.kind !== "refused") return;
-      close(item, "refused", offer.retryAfterMs);
+      close(openCall, "refused", offer.retryAfterMs);
     },
   };
 }
@@ -206,55 +218,59 @@
       maximumTokens: MAXIMUM_QUEUE_TOKENS,
       maximumWaitMs: MAXIMUM_WAIT_MS,
     },
-    concurrency: CONCURRENCY,
+    concurrency: MAXIMUM_CONCURRENCY,
   };
 }
 
 /**
- * The baseline: first in, first out, bounded by a count, a plain cap on
- * attempts, and no look at accounts, priorities or deadlines.
+ * The baseline: a FIFO queue of bounded length with a fixed limit on attempts,
+ * which ignores accounts, priorities and deadlines.
  */
 export function createPlainEntry(site: Site, entry: number): Entry {
-  const queue: Open[] = [];
+  const queue: OpenCall[] = [];
   const drain = (): void => {
     for (;;) {
-      const item = queue.at(0);
-      if (item === undefined) return;
-      if (!start(item)) return;
+      const openCall = queue.at(0);
+      if (openCall === undefined) return;
+      if (!start(openCall)) return;
       queue.shift();
     }
   };
-  const start = (item: Open): boolean => {
-    const { call, excluded } = item;
-    const wanted = placementRequest(call, call.outputTokens, excluded);
-    const choice = site.choose(entry, wanted);
+  const start = (openCall: OpenCall): boolean => {
+    const { call, excluded } = openCall;
+    const placementInput = placementRequest(call, call.outputTokens, excluded);
+    const choice = site.choose(entry, placementInput);
     if (!choice.hasRoom) return false;
-    send(site, entry, item, choice, {
+    sendAttempt(site, entry, openCall, choice, {
       ended: () => {
-        conclude(site, item, "done");
+        reportOutcome(site, openCall, "done");
         drain();
       },
       failed: () => {
-        if (item.attempts < PLAIN_ATTEMPTS) queue.push(item);
-        else conclude(site, item, "failed");
+        if (openCall.attempts < PLAIN_MAXIMUM_ATTEMPTS) queue.push(openCall);
+        else reportOutcome(site, openCall, "failed");
         drain();
       },
       refused: () => {
-        queue.unshift(item);
+        queue.unshift(openCall);
         drain();
       },
     });
     return true;
   };
-  site.time.every(TICK_MS, site.random() * TICK_MS, drain);
+  site.clock.scheduleEvery(
+    DRAIN_PERIOD_MS,
+    site.random() * DRAIN_PERIOD_MS,
+    drain,
+  );
   return {
-    onCall: (call, finish) => {
-      const item = open(call, finish);
-      if (queue.length >= PLAIN_QUEUE) {
-        conclude(site, item, "refused");
+    onCall: (call, onOutcome) => {
+      const openCall = createOpenCall(call, onOutcome);
+      if (queue.length >= PLAIN_QUEUE_CAPACITY) {
+        reportOutcome(site, openCall, "refused");
         return;
       }
-      queue.push(item);
+      queue.push(openCall);
       drain();
     },
   };
--- a/measure/support/runner-model.ts
+++ b/measure/support/runner-model.ts
@@ -1,24 +1,24 @@
 /**
- * One runner as a queue in virtual time: a batch of slots, waiting requests by
- * priority, a prefix cache that forgets the oldest, and faults.
+ * Simulates one runner in virtual time: a batch of slots, a priority queue of
+ * waiting requests, an LRU prefix cache, and faults.
  */
 import type { CacheEvent, RunnerLoad } from "../../src/internal.js";
-import type { VirtualTime } from "./virtual-time.js";
+import type { VirtualClock } from "./virtual-clock.js";
 
 export interface Job {
   readonly priority: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly prefix: readonly number[];
-  /** Time spent on moving the cache of the prefix here; 0 for none. */
-  readonly importMs: number;
+  /** Time to transfer the prefix's KV cache to this runner; 0 for no transfer. */
+  readonly cacheTransferMs: number;
   readonly onStarted: () => void;
   readonly onFirstToken: () => void;
-  readonly onEnded: (served: Served) => void;
+  readonly onEnded: (result: JobResult) => void;
   readonly onFailed: () => void;
 }
 
-export interface Served {
+export interface JobResult {
   readonly serviceMs: number;
   readonly cachedTokens: number;
 }
@@ -33,11 +33,11 @@
 }
 
 export class RunnerModel {
-  /** Steps take this many times as long: the slowest rank of its group. */
+  /** Factor on step and prefill time, set by the group's slowest rank. */
   slowdown = 1;
-  /** Every request fails at once. */
+  /** While true, every submitted request fails immediately. */
   isDown = false;
-  /** Slot time given to requests, ms. */
+  /** Total slot time of completed requests. */
   busyMs = 0;
   private readonly running = new Set<Job>();
   private readonly waiting: Job[] = [];
@@ -46,13 +46,13 @@
 
   private constructor(
     readonly settings: RunnerModelSettings,
-    private readonly time: VirtualTime,
+    private readonly time: VirtualClock,
     private readonly onCacheEvent: (event: CacheEvent) => void,
   ) {}
 
   static create(
     settings: RunnerModelSettings,
-    time: VirtualTime,
+    time: VirtualClock,
     onCacheEvent: (event: CacheEvent) => void = () => undefined,
   ): RunnerModel {
     return new RunnerModel(settings, time, onCacheEvent);
@@ -80,21 +80,21 @@
       job.onFailed();
       return;
     }
-    const before = this.waiting.findIndex(
+    const insertAt = this.waiting.findIndex(
       ({ priority }) => priority > job.priority,
     );
-    this.waiting.splice(before < 0 ? this.waiting.length : before, 0, job);
+    this.waiting.splice(insertAt < 0 ? this.waiting.length : insertAt, 0, job);
     this.startNext();
   }
 
-  /** All work breaks and the cache is lost. */
+  /** Fails all running and waiting requests and clears the cache. */
   fail(): void {
     this.isDown = true;
-    const lost = [...this.running, ...this.waiting.splice(0)];
+    const failedJobs = [...this.running, ...this.waiting.splice(0)];
     this.running.clear();
     this.cache.clear();
-    this.tellCache("cleared", []);
-    for (const job of lost) job.onFailed();
+    this.emitCacheEvent("cleared", []);
+    for (const job of failedJobs) job.onFailed();
   }
 
   private startNext(): void {
@@ -110,17 +110,17 @@
     this.running.add(job);
     job.onStarted();
     const cachedTokens = this.cachedTokens(job);
-    const fresh = job.promptTokens - cachedTokens;
-    const computeMs = fresh * prefillMsPerToken * this.slowdown;
-    const prefillMs = job.importMs > 0 ? job.importMs : computeMs;
+    const uncachedTokens = job.promptTokens - cachedTokens;
+    const computeMs = uncachedTokens * prefillMsPerToken * this.slowdown;
+    const prefillMs = job.cacheTransferMs > 0 ? job.cacheTransferMs : computeMs;
     const serviceMs = prefillMs + job.outputTokens * stepMs * this.slowdown;
-    this.time.after(prefillMs + stepMs * this.slowdown, () => {
+    this.time.schedule(prefillMs + stepMs * this.slowdown, () => {
       if (this.running.has(job)) job.onFirstToken();
     });
-    this.time.after(serviceMs, () => {
+    this.time.schedule(serviceMs, () => {
       if (!this.running.delete(job)) return;
       this.busyMs += serviceMs;
-      this.remember(job);
+      this.cachePrefix(job);
       job.onEnded({ serviceMs, cachedTokens });
       this.startNext();
     });
@@ -135,21 +135,24 @@
     return Math.min(job.promptTokens, blocks * this.settings.blockTokens);
   }
 
-  private remember(job: Job): void {
-    const fresh = job.prefix.filter((hash) => !this.cache.has(hash));
+  private cachePrefix(job: Job): void {
+    const newBlocks = job.prefix.filter((hash) => !this.cache.has(hash));
     for (const hash of job.prefix) {
       this.cache.delete(hash);
       this.cache.add(hash);
     }
-    if (fresh.length > 0) this.tellCache("stored", fresh);
+    if (newBlocks.length > 0) this.emitCacheEvent("stored", newBlocks);
     const excess = this.cache.size - this.settings.cacheBlocks;
     if (excess <= 0) return;
-    const dropped = [...this.cache].slice(0, excess);
-    for (const hash of dropped) this.cache.delete(hash);
-    this.tellCache("removed", dropped);
+    const evicted = [...this.cache].slice(0, excess);
+    for (const hash of evicted) this.cache.delete(hash);
+    this.emitCacheEvent("removed", evicted);
   }
 
-  private tellCache(kind: CacheEvent["kind"], hashes: readonly number[]): void {
+  private emitCacheEvent(
+    kind: CacheEvent["kind"],
+    hashes: readonly number[],
+  ): void {
     const { sequence } = this;
     this.sequence += 1;
     this.onCacheEvent({ runner: this.settings.name, sequence, kind, hashes });
--- a/measure/support/site.ts
+++ b/measure/support/site.ts
@@ -1,6 +1,7 @@
 /**
- * Runners with agents, and entries that reach them over a network with a
- * delay. Reports and cache events arrive late, cache events with gaps.
+ * Simulates a site: entries reach runners with agents over a network with
+ * delays. Load reports and cache events arrive late, and some cache events are
+ * lost.
  */
 import {
   AgentLimit,
@@ -12,8 +13,8 @@
   type RunnerDescription,
 } from "../../src/internal.js";
 import type { Chooser, CreateChooser } from "./choosers.js";
-import { RunnerModel, type Served } from "./runner-model.js";
-import { VirtualTime } from "./virtual-time.js";
+import { RunnerModel, type JobResult } from "./runner-model.js";
+import { VirtualClock } from "./virtual-clock.js";
 import { BLOCK_TOKENS, type Call } from "./workload.js";
 
 export interface SiteSettings {
@@ -22,14 +23,18 @@
   readonly slots: number;
   readonly entries: number;
   readonly chooser: CreateChooser;
-  /** How often an agent reports, and how late the report arrives. */
+  /** Period of an agent's load reports. */
   readonly reportMs: number;
+  /** Delay until a report arrives. */
   readonly reportLagMs: number;
   readonly cacheLagMs: number;
-  /** Part of the cache events that never arrive. */
+  /** Fraction of the cache events that is lost. */
   readonly cacheLoss: number;
   readonly cacheBlocks: number;
-  /** Requests beyond the slots that an agent takes; absent: no limit. */
+  /**
+   * Requests that an agent accepts beyond its slots, as a fraction of them; no
+   * limit if absent.
+   */
   readonly queueShare?: number;
 }
 
@@ -37,8 +42,8 @@
 export const PREFILL_MS_PER_TOKEN = 0.05;
 export const STEP_MS = 5;
 export const DATA_CENTRES = ["caerdydd", "abertawe", "casnewydd"] as const;
-/** One way between data centres. */
-const FAR_MS = 0.5;
+/** One-way network delay between data centres. */
+const CROSS_DATA_CENTRE_DELAY_MS = 0.5;
 const CAPACITY_TICK_MS = 100;
 
 export interface Attempt {
@@ -46,42 +51,49 @@
   readonly placed: Placed;
   readonly onStarted?: () => void;
   readonly onFirstToken: () => void;
-  readonly onEnded: (served: Served) => void;
+  readonly onEnded: (result: JobResult) => void;
   readonly onFailed: () => void;
-  /** The agent is full; the attempt never started. */
+  /** Called if the agent is full and the attempt never started. */
   readonly onRefused: () => void;
 }
 
 export class Site {
-  readonly time = VirtualTime.create();
+  readonly clock = VirtualClock.create();
   readonly runners: readonly RunnerModel[];
   readonly descriptions: readonly RunnerDescription[];
   readonly choosers: readonly Chooser[];
   readonly random: Random;
-  /** Slot time that the runners could have given so far, ms. */
+  /** Slot time that the runners have had available so far. */
   capacityMs = 0;
   /** Attempts that reached an agent. */
   attempts = 0;
   private readonly limits: readonly (AgentLimit | undefined)[];
-  private readonly indexes: ReadonlyMap<string, number>;
+  private readonly runnerIndexes: ReadonlyMap<string, number>;
 
   private constructor(readonly settings: SiteSettings) {
     this.random = createRandom(settings.seed);
-    const numbers = Array.from({ length: settings.runners }, (_, i) => i);
-    this.descriptions = numbers.map((index) => describeRunner(index, settings));
-    this.indexes = new Map(numbers.map((index) => [`runner-${index}`, index]));
+    const indexes = Array.from(
+      { length: settings.runners },
+      (_, index) => index,
+    );
+    this.descriptions = indexes.map((index) => describeRunner(index, settings));
+    this.runnerIndexes = new Map(
+      indexes.map((index) => [`runner-${index}`, index]),
+    );
     this.choosers = Array.from({ length: settings.entries }, (_, entry) =>
       this.createChooser(entry),
     );
-    this.runners = this.descriptions.map(({ runner }) => this.runner(runner));
+    this.runners = this.descriptions.map(({ runner }) =>
+      this.createRunner(runner),
+    );
     const { slots, queueShare } = settings;
-    this.limits = numbers.map(() =>
+    this.limits = indexes.map(() =>
       queueShare === undefined
         ? undefined
         : AgentLimit.create({ slots, queueShare }),
     );
     this.reportLoads();
-    this.time.every(CAPACITY_TICK_MS, 0, () => {
+    this.clock.scheduleEvery(CAPACITY_TICK_MS, 0, () => {
       this.addCapacity();
     });
   }
@@ -90,21 +102,21 @@
     return new Site(settings);
   }
 
-  /** Sends a placed request over the network; tells the chooser its end. */
+  /** Sends a placed request to its runner and notifies the chooser of its end. */
   send(entry: number, attempt: Attempt): void {
     const { placed, call } = attempt;
     const chooser = this.choosers[entry];
-    const index = this.indexes.get(placed.choice.runner) ?? 0;
+    const index = this.runnerIndexes.get(placed.choice.runner) ?? 0;
     const delayMs = this.delayMs(entry, index);
-    const back = (event: () => void): void => {
-      this.time.after(delayMs, event);
+    const afterReturnDelay = (event: () => void): void => {
+      this.clock.schedule(delayMs, event);
     };
     chooser.onStarted(placed);
-    this.time.after(delayMs, () => {
+    this.clock.schedule(delayMs, () => {
       this.attempts += 1;
       const limit = this.limits[index];
       if (limit?.enter(call.priority, `entry-${entry}`) === false) {
-        back(() => {
+        afterReturnDelay(() => {
           chooser.onRefused(placed);
           attempt.onRefused();
         });
@@ -112,21 +124,21 @@
       }
       this.runners[index].submit({
         ...call,
-        importMs: importTime(placed),
+        cacheTransferMs: cacheTransferMs(placed),
         onStarted: () => attempt.onStarted?.(),
         onFirstToken: () => {
-          back(attempt.onFirstToken);
+          afterReturnDelay(attempt.onFirstToken);
         },
-        onEnded: (served) => {
+        onEnded: (result) => {
           limit?.leave(`entry-${entry}`);
-          back(() => {
-            chooser.onEnded(placed, served.serviceMs, served.cachedTokens);
-            attempt.onEnded(served);
+          afterReturnDelay(() => {
+            chooser.onEnded(placed, result.serviceMs, result.cachedTokens);
+            attempt.onEnded(result);
           });
         },
         onFailed: () => {
           limit?.leave(`entry-${entry}`);
-          back(() => {
+          afterReturnDelay(() => {
             chooser.onFailed(placed);
             attempt.onFailed();
           });
@@ -152,7 +164,7 @@
 
   private createChooser(entry: number): Chooser {
     return this.settings.chooser({
-      now: () => this.time.nowMs,
+      now: () => this.clock.nowMs,
       random: createRandom(this.settings.seed * 1000 + entry),
       runners: this.descriptions,
       dataCentre: this.dataCentreOf(entry),
@@ -165,7 +177,7 @@
     });
   }
 
-  private runner(name: string): RunnerModel {
+  private createRunner(name: string): RunnerModel {
     const { slots, cacheBlocks, cacheLagMs, cacheLoss } = this.settings;
     const settings = {
       name,
@@ -175,9 +187,9 @@
       blockTokens: BLOCK_TOKENS,
       cacheBlocks,
     };
-    return RunnerModel.create(settings, this.time, (event) => {
+    return RunnerModel.create(settings, this.clock, (event) => {
       if (this.random() < cacheLoss) return;
-      this.time.after(cacheLagMs, () => {
+      this.clock.schedule(cacheLagMs, () => {
         for (const chooser of this.choosers) chooser.onCacheEvent(event);
       });
     });
@@ -186,9 +198,9 @@
   private reportLoads(): void {
     const { reportMs, reportLagMs } = this.settings;
     for (const runner of this.runners) {
-      this.time.every(reportMs, this.random() * reportMs, () => {
+      this.clock.scheduleEvery(reportMs, this.random() * reportMs, () => {
         const load = { ...runner.load, ageMs: reportLagMs };
-        this.time.after(reportLagMs, () => {
+        this.clock.schedule(reportLagMs, () => {
           for (const chooser of this.choosers) {
             chooser.onReport(runner.settings.name, load);
           }
@@ -198,7 +210,9 @@
   }
 
   private delayMs(entry: number, runner: number): number {
-    return this.dataCentreOf(entry) === this.dataCentreOf(runner) ? 0 : FAR_MS;
+    return this.dataCentreOf(entry) === this.dataCentreOf(runner)
+      ? 0
+      : CROSS_DATA_CENTRE_DELAY_MS;
   }
 }
 
@@ -226,8 +240,8 @@
   };
 }
 
-/** The import replaces the prefill: what is left of it, as predicted. */
-function importTime({ request, choice }: Placed): number {
+/** A KV cache transfer replaces the prefill and takes its predicted time. */
+function cacheTransferMs({ request, choice }: Placed): number {
   if (choice.importFrom === undefined) return 0;
   return Math.max(1, choice.nominalMs - request.outputTokens * STEP_MS);
 }
--- a/measure/support/summary.ts
+++ b/measure/support/summary.ts
@@ -1,9 +1,12 @@
-/** Percentiles, fairness and tables. */
+/** Statistics and table output that the measurements share. */
 
-export function percentile(values: readonly number[], share: number): number {
+export function percentile(
+  values: readonly number[],
+  fraction: number,
+): number {
   if (values.length === 0) return 0;
   const sorted = Float64Array.from(values).sort();
-  const index = Math.ceil(share * sorted.length) - 1;
+  const index = Math.ceil(fraction * sorted.length) - 1;
   return sorted[Math.max(0, index)];
 }
 
@@ -12,7 +15,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Jain's index: 1 when all are equal, 1/n when one has all. */
+/** Jain's fairness index: 1 if all values are equal, 1/n if one has the total. */
 export function fairnessIndex(values: readonly number[]): number {
   const total = values.reduce((sum, value) => sum + value, 0);
   const squares = values.reduce((sum, value) => sum + value * value, 0);
@@ -26,12 +29,12 @@
 
 export type Row = Readonly<Record<string, string | number>>;
 
-/** Prints rows with aligned columns. */
+/** Prints the rows as a table with aligned columns. */
 export function printTable(title: string, rows: readonly Row[]): void {
   const columns = Object.keys(rows[0] ?? {});
   const cells = [
     columns,
-    ...rows.map((row) => columns.map((c) => `${row[c]}`)),
+    ...rows.map((row) => columns.map((column) => `${row[column]}`)),
   ];
   const widths = columns.map((_, index) =>
     Math.max(...cells.map((line) => line[index].length)),
--- a/measure/support/workload.ts
+++ b/measure/support/workload.ts
@@ -1,7 +1,7 @@
-/** Callers' requests, drawn from a seed. */
+/** Generates the simulated calls of a measurement from a seed. */
 import { randomBelow, type Random } from "../../src/internal.js";
 
-/** One request of a caller. */
+/** One simulated request of a caller. */
 export interface Call {
   readonly id: string;
   readonly atMs: number;
@@ -14,70 +14,71 @@
   readonly prefix: readonly number[];
 }
 
-/** A stream of similar calls. */
-export interface Stream {
+/** Parameters of a stream of calls from one account. */
+export interface CallStream {
   readonly account: string;
   readonly profile: string;
   readonly priority: number;
   readonly deadlineMs: number;
   readonly promptTokens: number;
-  /** Mean; drawn from an exponential distribution of at least 8. */
+  /** Mean of an exponential distribution, cut off below at 8 tokens. */
   readonly outputTokens: number;
-  /** Prefixes that are shared, by Zipf's law; 0 for none. */
-  readonly prefixes: number;
-  /** Calls a second at a time. */
-  readonly rate: (nowMs: number) => number;
+  /** Number of shared prompt prefixes, picked by Zipf's law; 0 for none. */
+  readonly prefixCount: number;
+  /** Mean arrival rate at a point in time. */
+  readonly callsPerSecond: (nowMs: number) => number;
 }
 
 export const BLOCK_TOKENS = 256;
-const LEAST_OUTPUT = 8;
+const MINIMUM_OUTPUT_TOKENS = 8;
 const MS_PER_SECOND = 1000;
-/** Skew of prefix popularity, as found for web requests. */
+/** Exponent of the prefix popularity, as observed for web requests. */
 const ZIPF_EXPONENT = 1;
-const PREFIX_SHARE = 0.75;
+/** Part of a prompt that its shared prefix covers. */
+const SHARED_PROMPT_FRACTION = 0.75;
 
-function exponential(random: Random, average: number): number {
-  return -Math.log(1 - random()) * average;
+function exponential(random: Random, mean: number): number {
+  return -Math.log(1 - random()) * mean;
 }
 
-/** Draws a rank of Zipf's law by its cumulative sums. */
-function zipf(count: number): (random: Random) => number {
-  const sums: number[] = [];
+/** Samples indexes from 0 by Zipf's law, through the cumulative weights. */
+function zipfSampler(count: number): (random: Random) => number {
+  const cumulative: number[] = [];
   let total = 0;
   for (let rank = 1; rank <= count; rank += 1) {
     total += rank ** -ZIPF_EXPONENT;
-    sums.push(total);
+    cumulative.push(total);
   }
   return (random) => {
-    const wanted = random() * total;
-    return sums.findIndex((sum) => sum >= wanted);
+    const target = random() * total;
+    return cumulative.findIndex((sum) => sum >= target);
   };
 }
 
-/** All calls of the streams, in order of time. */
-export function drawCalls(
-  streams: readonly Stream[],
+/** Generates the calls of all streams as Poisson arrivals, sorted by time. */
+export function generateCalls(
+  streams: readonly CallStream[],
   durationMs: number,
   random: Random,
 ): readonly Call[] {
   const calls: Call[] = [];
   streams.forEach((stream, streamIndex) => {
-    const rank = zipf(Math.max(1, stream.prefixes));
+    const samplePrefix = zipfSampler(Math.max(1, stream.prefixCount));
     let atMs = 0;
     for (;;) {
-      const rate = Math.max(1e-6, stream.rate(atMs));
+      const rate = Math.max(1e-6, stream.callsPerSecond(atMs));
       atMs += exponential(random, MS_PER_SECOND / rate);
       if (atMs >= durationMs) break;
       const id = `${streamIndex}-${calls.length}`;
-      const prefixNumber = stream.prefixes > 0 ? rank(random) : -1;
-      calls.push(drawCall(stream, id, atMs, prefixNumber, random));
+      const prefixNumber = stream.prefixCount > 0 ? samplePrefix(random) : -1;
+      calls.push(generateCall(stream, id, atMs, prefixNumber, random));
     }
   });
   return calls.sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawCall(
-  stream: Stream,
+function generateCall(
+  stream: CallStream,
   id: string,
   atMs: number,
   prefixNumber: number,
@@ -85,14 +86,16 @@
 ): Call {
   const { account, profile, priority, deadlineMs, promptTokens } = stream;
   const outputTokens = Math.max(
-    LEAST_OUTPUT,
+    MINIMUM_OUTPUT_TOKENS,
     Math.round(exponential(random, stream.outputTokens)),
   );
-  const blocks = Math.floor((promptTokens * PREFIX_SHARE) / BLOCK_TOKENS);
-  const shared = prefixNumber >= 0 ? blocks : 0;
+  const blocks = Math.floor(
+    (promptTokens * SHARED_PROMPT_FRACTION) / BLOCK_TOKENS,
+  );
+  const sharedBlocks = prefixNumber >= 0 ? blocks : 0;
   const prefix = Array.from(
-    { length: shared },
-    (_, block) => hashOf(account, prefixNumber) + block,
+    { length: sharedBlocks },
+    (_, block) => prefixHash(account, prefixNumber) + block,
   );
   return {
     id,
@@ -107,23 +110,23 @@
   };
 }
 
-function hashOf(account: string, prefixNumber: number): number {
+function prefixHash(account: string, prefixNumber: number): number {
   let hash = 7;
   for (const letter of account) hash = (hash * 31 + letter.charCodeAt(0)) % 1e6;
   return (hash * 10_000 + prefixNumber) * 100;
 }
 
-/** Changes the rate between two times. */
-export function burst(
-  usual: number,
+/** A constant rate that is multiplied by `factor` between two times. */
+export function burstRate(
+  base: number,
   factor: number,
   fromMs: number,
   toMs: number,
 ): (nowMs: number) => number {
-  return (nowMs) => (nowMs >= fromMs && nowMs < toMs ? usual * factor : usual);
+  return (nowMs) => (nowMs >= fromMs && nowMs < toMs ? base * factor : base);
 }
 
-/** Spreads calls over entries as a balancer of connections does. */
-export function entryOf(random: Random, entries: number): number {
+/** Picks an entry at random, as a connection-level load balancer would. */
+export function pickEntry(random: Random, entries: number): number {
   return randomBelow(random, entries);
 }
--- a/measure/traces-file.ts
+++ b/measure/traces-file.ts
@@ -1,19 +1,19 @@
 /**
- * Traces from a file: JSON Lines, one window a line,
+ * Reads traces from JSON Lines files with one window a line:
  * `{"window": i, "counts": [[tokens of each expert] of each layer]}`.
  */
 import { readFile } from "node:fs/promises";
 import { z } from "zod";
 import { raise, type GroupShape } from "../src/internal.js";
 import { createRandom } from "../src/internal.js";
-import { traceWindow, type Trace } from "./traces.js";
+import { createTraceWindow, type Trace } from "./traces.js";
 
-const line = z.strictObject({
+const lineSchema = z.strictObject({
   window: z.int().min(0),
   counts: z.array(z.array(z.number().min(0)).min(1)).min(1),
 });
 
-type TraceLine = z.infer<typeof line>;
+type TraceLine = z.infer<typeof lineSchema>;
 
 export interface ParsedTrace {
   readonly layers: number;
@@ -21,7 +21,7 @@
   readonly lines: readonly TraceLine[];
 }
 
-/** Reads a trace file; raises 1802 or, naming the line, 1801. */
+/** Reads a trace file; raises 1802 if it can't be read, 1801 if a line is invalid. */
 export async function readTrace(file: string): Promise<ParsedTrace> {
   let text: string;
   try {
@@ -32,13 +32,13 @@
   return parseTrace(text);
 }
 
-/** Parses the text of a trace; raises 1801, naming the line. */
+/** Parses the text of a trace; raises 1801 with the number of an invalid line. */
 export function parseTrace(text: string): ParsedTrace {
   const lines: TraceLine[] = [];
   text.split("\n").forEach((content, index) => {
     if (content.trim() === "") return;
     const parsed = parseLine(content, index + 1);
-    checkAgainst(lines, parsed, index + 1);
+    checkConsistent(lines, parsed, index + 1);
     lines.push(parsed);
   });
   const first = lines.at(0);
@@ -47,43 +47,43 @@
   return { layers, experts: first.counts[0].length, lines };
 }
 
-function parseLine(content: string, number: number): TraceLine {
+function parseLine(content: string, lineNumber: number): TraceLine {
   let value: unknown;
   try {
     value = JSON.parse(content);
   } catch (thrown) {
-    raise(1801, { line: number, problem: "not JSON" }, thrown);
+    raise(1801, { line: lineNumber, problem: "not JSON" }, thrown);
   }
-  const result = line.safeParse(value);
+  const result = lineSchema.safeParse(value);
   if (result.success) return result.data;
   const [issue] = result.error.issues;
   const path = issue.path.join(".");
-  raise(1801, { line: number, problem: `${path}: ${issue.message}` });
+  raise(1801, { line: lineNumber, problem: `${path}: ${issue.message}` });
 }
 
-function checkAgainst(
+function checkConsistent(
   lines: readonly TraceLine[],
   { window, counts }: TraceLine,
-  number: number,
+  lineNumber: number,
 ): void {
   const last = lines.at(-1);
   const experts = (last?.counts ?? counts)[0].length;
   const layers = (last?.counts ?? counts).length;
   if (counts.length !== layers) {
-    raise(1801, { line: number, problem: `not ${layers} layers` });
+    raise(1801, { line: lineNumber, problem: `expected ${layers} layers` });
   }
-  const uneven = counts.findIndex((layer) => layer.length !== experts);
-  if (uneven >= 0) {
-    const problem = `counts.${uneven}: not ${experts} experts`;
-    raise(1801, { line: number, problem });
+  const unevenLayer = counts.findIndex((layer) => layer.length !== experts);
+  if (unevenLayer >= 0) {
+    const problem = `counts.${unevenLayer}: expected ${experts} experts`;
+    raise(1801, { line: lineNumber, problem });
   }
   if (last !== undefined && window <= last.window) {
     const problem = `window ${window} doesn't follow ${last.window}`;
-    raise(1801, { line: number, problem });
+    raise(1801, { line: lineNumber, problem });
   }
 }
 
-/** The trace with all ranks equally fast and every report in time. */
+/** A trace in which all ranks are equally fast and no report is lost. */
 export function toTrace(
   name: string,
   shape: GroupShape,
@@ -91,7 +91,13 @@
 ): Trace {
   const random = createRandom(0);
   const windows = parsed.lines.map(({ window, counts }) =>
-    traceWindow(shape, window, Float64Array.from(counts.flat()), {}, random),
+    createTraceWindow(
+      shape,
+      window,
+      Float64Array.from(counts.flat()),
+      {},
+      random,
+    ),
   );
   return { name, windows };
 }
--- a/measure/traces.ts
+++ b/measure/traces.ts
@@ -1,7 +1,7 @@
 /**
- * Generated demand for the balance measurement. A trace gives, for each window
- * of ten seconds, the tokens of each layer and expert, the speeds and request
- * work of the ranks, and the ranks whose reports are lost.
+ * Generates demand for the skew measurement. A trace holds, for each window of
+ * ten seconds, the tokens of each layer and expert, the speed and request work
+ * of each rank, and the ranks whose reports are lost.
  */
 import {
   createRandom,
@@ -15,156 +15,177 @@
   readonly tokens: Float64Array;
   readonly speeds: Float64Array;
   readonly requestTokens: Float64Array;
-  /** Fixed part of a step as tokens of work, in no report. */
+  /** Fixed part of a step, as tokens of work; ranks don't report it. */
   readonly fixedTokens: number;
-  /** Ranks whose report of this window never arrives. */
+  /** Ranks whose report of this window is lost. */
   readonly lostReports: ReadonlySet<number>;
 }
 
 export interface Trace {
   readonly name: string;
   readonly windows: readonly TraceWindow[];
-  /** Load that the map at the start was fitted to; unfitted when absent. */
+  /** Load that the initial map is fitted to; the map is even if absent. */
   readonly startTokens?: Float64Array;
 }
 
 /** Tokens of expert work of one rank in one layer and window. */
 const TOKENS_PER_RANK = 100_000;
 /**
- * Variance of a count over its mean. Tokens of one request favour the same
- * experts, so counts vary more than independent ones (1).
+ * Ratio of a count's variance to its mean. The tokens of one request favour the
+ * same experts, so counts vary more than independent ones, whose ratio is 1.
  */
 const DISPERSION = 8;
-/** Spread of the logarithm of popularity: the hottest of 128 is about 3.5. */
+/** Standard deviation of log popularity; the top of 128 experts is about 3.5. */
 const POPULARITY_SPREAD = 0.5;
 
-interface Recipe {
-  readonly fitted: boolean;
-  /** DISPERSION when absent. */
+interface TraceDefinition {
+  /** Whether the initial map is fitted to the load at the start. */
+  readonly fitsInitialMap: boolean;
+  /** Ratio of variance to mean; DISPERSION if absent. */
   readonly dispersion?: number;
-  /** Popularity of every layer and expert in a window. */
-  readonly popularity: (base: Float64Array, random: Random) => Popularity;
-  readonly ranks?: (shape: GroupShape, windows: number) => RankFaults;
+  /** Log popularity by layer and expert, as a function of the window. */
+  readonly popularity: (
+    base: Float64Array,
+    random: Random,
+  ) => PopularityOverTime;
+  readonly rankConditions?: (
+    shape: GroupShape,
+    windows: number,
+  ) => RankConditions;
 }
 
-type Popularity = (window: number, windows: number) => Float64Array;
+type PopularityOverTime = (window: number, windows: number) => Float64Array;
 
-interface RankFaults {
+interface RankConditions {
   readonly speed?: (rank: number, window: number) => number;
-  /** Request work over the expert work of an average rank. */
-  readonly request?: (rank: number, window: number) => number;
-  readonly loses?: (rank: number, window: number, random: Random) => boolean;
+  /** Request work of a rank over the expert work of an average rank. */
+  readonly requestWork?: (rank: number, window: number) => number;
+  readonly losesReport?: (
+    rank: number,
+    window: number,
+    random: Random,
+  ) => boolean;
   /** Fixed part of a step over the expert work of an average rank. */
-  readonly fixed?: number;
+  readonly fixedWork?: number;
 }
 
-const recipes: Readonly<Record<string, Recipe>> = {
-  /** Demand stands still, but the map at the start knows nothing of it. */
-  steady: { fitted: false, popularity: still },
-  /** Demand stands still and the map fits it: any move is wasted. */
-  noise: { fitted: true, popularity: still },
-  "loud-noise": { fitted: true, popularity: still, dispersion: 80 },
-  drift: { fitted: true, popularity: drifting },
-  wave: { fitted: true, popularity: waves },
-  /** Half of every step doesn't depend on the tokens of a rank. */
+const traceDefinitions: Readonly<Record<string, TraceDefinition>> = {
+  /** Demand is constant, and the initial map isn't fitted to it. */
+  steady: { fitsInitialMap: false, popularity: stationary },
+  /** Demand is constant and the map is fitted to it, so any move is wasted. */
+  noise: { fitsInitialMap: true, popularity: stationary },
+  "loud-noise": {
+    fitsInitialMap: true,
+    popularity: stationary,
+    dispersion: 80,
+  },
+  drift: { fitsInitialMap: true, popularity: drifting },
+  wave: { fitsInitialMap: true, popularity: stepChanges },
+  /** Half of every step is independent of a rank's tokens. */
   "fixed-part": {
-    fitted: true,
-    popularity: waves,
-    ranks: () => ({ fixed: 1 }),
+    fitsInitialMap: true,
+    popularity: stepChanges,
+    rankConditions: () => ({ fixedWork: 1 }),
   },
-  oscillation: { fitted: true, popularity: oscillating },
-  flash: { fitted: true, popularity: flashing },
-  "heavy-tail": { fitted: true, popularity: heavyTail },
+  oscillation: { fitsInitialMap: true, popularity: oscillating },
+  flash: { fitsInitialMap: true, popularity: flashCrowd },
+  "heavy-tail": { fitsInitialMap: true, popularity: heavyTail },
   "slow-rank": {
-    fitted: true,
-    popularity: still,
-    ranks: (_, windows) => ({
+    fitsInitialMap: true,
+    popularity: stationary,
+    rankConditions: (_, windows) => ({
       speed: (rank, window) => (rank === 3 && window >= windows / 3 ? 0.6 : 1),
     }),
   },
   "missing-report": {
-    fitted: true,
+    fitsInitialMap: true,
     popularity: drifting,
-    ranks: (_, windows) => ({
-      loses: (rank, window, random) =>
+    rankConditions: (_, windows) => ({
+      losesReport: (rank, window, random) =>
         random() < 0.05 ||
         (rank === 5 && window >= windows / 3 && window < (windows * 2) / 3),
     }),
   },
   "uneven-requests": {
-    fitted: true,
+    fitsInitialMap: true,
     popularity: drifting,
-    ranks: ({ ranks }) => ({
-      request: (rank) => 0.15 + (0.3 * rank) / Math.max(ranks - 1, 1),
+    rankConditions: ({ ranks }) => ({
+      requestWork: (rank) => 0.15 + (0.3 * rank) / Math.max(ranks - 1, 1),
     }),
   },
-  /** Long requests pile up on some ranks, on others ten minutes later. */
+  /** Request work peaks on some ranks, and on the opposite ones ten minutes later. */
   "shifting-requests": {
-    fitted: true,
+    fitsInitialMap: true,
     popularity: drifting,
-    ranks: ({ ranks }) => ({
-      request: (rank, window) =>
+    rankConditions: ({ ranks }) => ({
+      requestWork: (rank, window) =>
         0.3 + 0.15 * Math.sin(2 * Math.PI * (rank / ranks + window / 120)),
     }),
   },
 };
 
-export const traceNames: readonly string[] = Object.keys(recipes);
+export const traceNames: readonly string[] = Object.keys(traceDefinitions);
 
-/** A generated trace; undefined when there is none of the name. */
+/** Generates the named trace; undefined if the name is unknown. */
 export function generateTrace(
   name: string,
   shape: GroupShape,
   windows: number,
   seed: number,
 ): Trace | undefined {
-  const recipe = Object.hasOwn(recipes, name) ? recipes[name] : undefined;
-  if (recipe === undefined) return undefined;
+  const definition = Object.hasOwn(traceDefinitions, name)
+    ? traceDefinitions[name]
+    : undefined;
+  if (definition === undefined) return undefined;
   const random = createRandom(seed);
   const base = logPopularity(shape, random);
-  const popularity = recipe.popularity(base, random);
-  const { dispersion = DISPERSION } = recipe;
-  const faults = recipe.ranks?.(shape, windows) ?? {};
-  const list = Array.from({ length: windows }, (_, window) => {
+  const popularity = definition.popularity(base, random);
+  const { dispersion = DISPERSION } = definition;
+  const conditions = definition.rankConditions?.(shape, windows) ?? {};
+  const traceWindows = Array.from({ length: windows }, (_, window) => {
     const expected = toTokens(shape, popularity(window, windows));
-    return traceWindow(
+    return createTraceWindow(
       shape,
       window,
       addNoise(expected, dispersion, random),
-      faults,
+      conditions,
       random,
     );
   });
   const startTokens = toTokens(shape, popularity(0, windows));
-  return { name, windows: list, ...(recipe.fitted ? { startTokens } : {}) };
+  return {
+    name,
+    windows: traceWindows,
+    ...(definition.fitsInitialMap ? { startTokens } : {}),
+  };
 }
 
-/** One window of tokens with the ranks' part added. */
-export function traceWindow(
+/** Combines the tokens of one window with the conditions of the ranks. */
+export function createTraceWindow(
   shape: GroupShape,
   window: number,
   tokens: Float64Array,
-  faults: RankFaults,
+  conditions: RankConditions,
   random: Random,
 ): TraceWindow {
   const ranks = Array.from({ length: shape.ranks }, (_, rank) => rank);
   const meanWork = shape.layers * TOKENS_PER_RANK;
-  const { speed, request, loses, fixed = 0 } = faults;
+  const { speed, requestWork, losesReport, fixedWork = 0 } = conditions;
   return {
     tokens,
     speeds: Float64Array.from(ranks, (rank) => speed?.(rank, window) ?? 1),
     requestTokens: Float64Array.from(
       ranks,
-      (rank) => (request?.(rank, window) ?? 0) * meanWork,
+      (rank) => (requestWork?.(rank, window) ?? 0) * meanWork,
     ),
-    fixedTokens: fixed * meanWork,
+    fixedTokens: fixedWork * meanWork,
     lostReports: new Set(
-      ranks.filter((rank) => loses?.(rank, window, random) ?? false),
+      ranks.filter((rank) => losesReport?.(rank, window, random) ?? false),
     ),
   };
 }
 
-/** Normal variate (Box and Muller). */
+/** Samples the standard normal distribution (Box-Muller). */
 function normal(random: Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random()));
   return radius * Math.cos(2 * Math.PI * random());
@@ -182,9 +203,9 @@
     const start = layer * experts;
     const weights = popularity.subarray(start, start + experts).map(Math.exp);
     const total = weights.reduce((sum, weight) => sum + weight, 0);
-    const unit = (ranks * TOKENS_PER_RANK) / total;
+    const tokensPerWeight = (ranks * TOKENS_PER_RANK) / total;
     weights.forEach((weight, expert) => {
-      tokens[start + expert] = weight * unit;
+      tokens[start + expert] = weight * tokensPerWeight;
     });
   }
   return tokens;
@@ -203,12 +224,12 @@
   );
 }
 
-function still(base: Float64Array): Popularity {
+function stationary(base: Float64Array): PopularityOverTime {
   return () => base;
 }
 
-/** Every expert rises and falls by a factor of 1.8 in two hours. */
-function drifting(base: Float64Array, random: Random): Popularity {
+/** Each expert's popularity rises and falls by a factor of 1.8 every two hours. */
+function drifting(base: Float64Array, random: Random): PopularityOverTime {
   const phases = base.map(() => 2 * Math.PI * random());
   return (window) =>
     base.map((value, index) => {
@@ -220,8 +241,11 @@
     });
 }
 
-/** At a third and at two thirds, one expert in seven becomes three times as hot. */
-function waves(base: Float64Array, random: Random): Popularity {
+/**
+ * At one third of the trace one expert in seven becomes three times as popular;
+ * at two thirds another random choice of experts replaces it.
+ */
+function stepChanges(base: Float64Array, random: Random): PopularityOverTime {
   const first = base.map(() => (random() < 0.15 ? Math.log(3) : 0));
   const second = base.map(() => (random() < 0.15 ? Math.log(3) : 0));
   return (window, windows) =>
@@ -231,34 +255,34 @@
     });
 }
 
-/** Two demands take turns of a minute. */
-function oscillating(base: Float64Array, random: Random): Popularity {
-  const swing = base.map(() => 0.5 * normal(random));
+/** Alternates between two demands every minute. */
+function oscillating(base: Float64Array, random: Random): PopularityOverTime {
+  const deviation = base.map(() => 0.5 * normal(random));
   return (window) => {
-    const side = Math.floor(window / 6) % 2 === 0 ? 1 : -1;
-    return base.map((value, index) => value + side * swing[index]);
+    const sign = Math.floor(window / 6) % 2 === 0 ? 1 : -1;
+    return base.map((value, index) => value + sign * deviation[index]);
   };
 }
 
-/** One expert in fifty is eight times as hot for ten minutes. */
-function flashing(base: Float64Array, random: Random): Popularity {
-  const hot = base.map(() => (random() < 0.02 ? Math.log(8) : 0));
+/** One expert in fifty is eight times as popular for ten minutes. */
+function flashCrowd(base: Float64Array, random: Random): PopularityOverTime {
+  const boost = base.map(() => (random() < 0.02 ? Math.log(8) : 0));
   return (window, windows) => {
     const start = windows / 3;
-    const lit = window >= start && window < start + 60;
-    return lit ? base.map((value, index) => value + hot[index]) : base;
+    const isActive = window >= start && window < start + 60;
+    return isActive ? base.map((value, index) => value + boost[index]) : base;
   };
 }
 
-/** Few experts take most of the tokens (Pareto), and slowly change places. */
-function heavyTail(base: Float64Array, random: Random): Popularity {
+/** Few experts take most of the tokens (Pareto), and popularity drifts slowly. */
+function heavyTail(base: Float64Array, random: Random): PopularityOverTime {
   const tail = base.map(() => -Math.log(1 - random()) / 1.5);
   const drift = drifting(tail, random);
   return drift;
 }
 
-/** Ranks as they are in a window, the fixed part among their work. */
-export function ranksOf(window: TraceWindow): RankState {
+/** State of the ranks in a window, with the fixed part as request work. */
+export function rankStateOf(window: TraceWindow): RankState {
   const { speeds, requestTokens, fixedTokens } = window;
   const work = requestTokens.map((tokens) => tokens + fixedTokens);
   return { speeds, requestTokens: work };
