--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of the demo: each call carries a prompt of its own, so that whoever
- * gets an answer can tell whether it is whole and theirs.
+ * Simulated callers. Every call carries a unique prompt, from which the caller
+ * checks that the answer is complete and belongs to its own request.
  */
 import { createHash } from "node:crypto";
 import { v7 as uuidV7 } from "uuid";
@@ -16,14 +16,14 @@
   | "not-run"
   | "unknown"
   | "broken-off"
-  /** An answer that was not the caller's own or not whole, yet looked so. */
+  /** An apparent success with incomplete content or another call's content. */
   | "wrong"
-  /** The connection ended without any answer. */
+  /** The call failed without a response. */
   | "no-answer";
 
 export interface CallResult {
   readonly kind: CallKind;
-  /** Unique text by which the runners' records are searched. */
+  /** Unique text that identifies the call in the runners' records. */
   readonly marker: string;
   readonly outcome: CallOutcome;
   readonly startedAtMs: number;
@@ -45,7 +45,7 @@
   readonly account: number;
 }
 
-interface Received {
+interface ReceivedResponse {
   readonly status: number;
   readonly outcome: string;
   readonly text: string;
@@ -56,18 +56,18 @@
 
 const SHORT_TOKENS = 12;
 const LONG_TOKENS = 400;
-const PREFIXES = 4;
+const PREFIX_COUNT = 4;
 const PREFIX_TEXT = "standing instructions for crews and consultants. ";
-const LONGEST_CALL_MS = 40_000;
+const CALL_TIMEOUT_MS = 40_000;
 
 export async function makeCall(caller: Caller): Promise<CallResult> {
   const plan = planCall(caller.random);
   const startedAtMs = Date.now();
-  const from = performance.now();
+  const startedAt = performance.now();
   const addresses = caller.addresses();
   const address = addresses[randomBelow(caller.random, addresses.length)];
   const received = await send(caller, address, plan);
-  const { outcome, detail } = judge(plan, received);
+  const { outcome, detail } = classifyOutcome(plan, received);
   return {
     kind: plan.kind,
     marker: plan.marker,
@@ -75,11 +75,11 @@
     detail,
     startedAtMs,
     firstByteMs: received?.firstByteMs ?? 0,
-    durationMs: performance.now() - from,
+    durationMs: performance.now() - startedAt,
   };
 }
 
-/** A few accounts send most of the calls; few answers are long. */
+/** Draws a call: account 0 sends most of them, and 15% of answers are long. */
 function planCall(random: Random): CallPlan {
   const draw = random();
   const kind: CallKind =
@@ -92,7 +92,9 @@
           : "order";
   const isLong = random() < 0.15;
   const account = random() < 0.6 ? 0 : randomBelow(random, 10);
-  const prefix = PREFIX_TEXT.repeat(8 * (1 + randomBelow(random, PREFIXES)));
+  const prefix = PREFIX_TEXT.repeat(
+    8 * (1 + randomBelow(random, PREFIX_COUNT)),
+  );
   const marker = `${prefix}${uuidV7()}`;
   return { kind, marker, tokens: isLong ? LONG_TOKENS : SHORT_TOKENS, account };
 }
@@ -101,9 +103,9 @@
   { site }: Caller,
   address: string,
   plan: CallPlan,
-): Promise<Received | undefined> {
+): Promise<ReceivedResponse | undefined> {
   const { path, profile, body } = requestOf(plan);
-  const from = performance.now();
+  const startedAt = performance.now();
   try {
     const response = await fetch(`http://${address}${path}`, {
       method: "POST",
@@ -113,9 +115,9 @@
         ...(plan.kind === "order" ? { "idempotency-key": uuidV7() } : {}),
       },
       body,
-      signal: AbortSignal.timeout(LONGEST_CALL_MS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
-    const { text, isCut, firstByteMs } = await readText(response, from);
+    const { text, isCut, firstByteMs } = await readText(response, startedAt);
     const outcome = response.headers.get("apricotdeck-outcome") ?? "";
     const { status } = response;
     return { status, outcome, text, firstByteMs, isCut };
@@ -145,14 +147,14 @@
 
 async function readText(
   response: Response,
-  from: number,
+  startedAt: number,
 ): Promise<{ text: string; isCut: boolean; firstByteMs: number }> {
   let text = "";
   let firstByteMs = 0;
   const decoder = new TextDecoder();
   try {
     for await (const part of response.body ?? []) {
-      if (firstByteMs === 0) firstByteMs = performance.now() - from;
+      if (firstByteMs === 0) firstByteMs = performance.now() - startedAt;
       text += decoder.decode(part as Uint8Array, { stream: true });
     }
   } catch {
@@ -161,20 +163,22 @@
   return { text, isCut: false, firstByteMs };
 }
 
-function judge(
+function classifyOutcome(
   plan: CallPlan,
-  received: Received | undefined,
+  received: ReceivedResponse | undefined,
 ): { readonly outcome: CallOutcome; readonly detail: string } {
   if (received === undefined) return { outcome: "no-answer", detail: "" };
   const { status, text, isCut } = received;
-  const said = /"outcome":"(not-run|unknown|broken-off)"/.exec(text)?.[1];
-  const isWhole = !isCut && status === 200 && said === undefined;
+  const reportedOutcome = /"outcome":"(not-run|unknown|broken-off)"/.exec(
+    text,
+  )?.[1];
+  const isWhole = !isCut && status === 200 && reportedOutcome === undefined;
   if (isWhole) {
     const isOwn = readAnswer(plan, text) === expectedAnswer(plan);
     const detail = isOwn ? "" : text.slice(0, 200);
     return { outcome: isOwn ? "answered" : "wrong", detail };
   }
-  const outcome = (said ?? "broken-off") as CallOutcome;
+  const outcome = (reportedOutcome ?? "broken-off") as CallOutcome;
   return { outcome, detail: text.slice(-300) };
 }
 
@@ -185,7 +189,7 @@
   return indexes.map((index) => tokenText(digest, index)).join("");
 }
 
-/** The text of an answer; empty when its form is wrong. */
+/** Extracts the answer text; empty if the response is malformed. */
 function readAnswer({ kind }: CallPlan, text: string): string {
   try {
     if (kind === "stream") return readStream(text);
--- a/demo/configurations.ts
+++ b/demo/configurations.ts
@@ -1,4 +1,4 @@
-/** Published configurations of the two sites that the demo shows. */
+/** Published configurations of the two demo sites. */
 import { createHash } from "node:crypto";
 import { configurationSchema, type Configuration } from "../src/internal.js";
 
@@ -9,13 +9,13 @@
 
 export type SiteName = "dyfrwr" | "ben-ammar";
 
-const ACCOUNTS = 10;
-/** Shape of the model that both sites run. */
+const ACCOUNT_COUNT = 10;
+/** Model shape, the same at both sites. */
 export const EXPERTS = 32;
 export const LAYERS = 4;
 export const BYTES_PER_EXPERT = 8192;
 
-/** Credential of one of the site's client accounts. */
+/** Credential of a client account of the site. */
 export function credentialOf(site: SiteName, index: number): string {
   return `${site}-account-${index}-credential`;
 }
@@ -32,7 +32,7 @@
       serviceProfile("records", true),
       serviceProfile("orders", false),
     ],
-    accounts: Array.from({ length: ACCOUNTS }, (_, index) => ({
+    accounts: Array.from({ length: ACCOUNT_COUNT }, (_, index) => ({
       name: `account-${index}`,
       credentialHashes: [sha256(credentialOf(site, index))],
       defaultProfile: "drafting",
@@ -46,7 +46,7 @@
         ranks,
         layers: LAYERS,
         experts: EXPERTS,
-        // One spare slot a rank for replicas.
+        // One extra slot per rank for replicas.
         slotsPerRank: Math.ceil(EXPERTS / ranks) + 1,
         bytesPerExpert: BYTES_PER_EXPERT,
       },
@@ -72,7 +72,7 @@
   };
 }
 
-/** Records may be read again; an order may run once at the most. */
+/** Reads of records are repeatable; an order must run at most once. */
 function serviceProfile(name: string, repeatable: boolean): unknown {
   return {
     name,
--- a/demo/daemon-process.ts
+++ b/demo/daemon-process.ts
@@ -1,4 +1,4 @@
-/** Starts one daemon as a process of its own and learns its addresses. */
+/** Starts a daemon as a separate process and reads its listening addresses. */
 import { spawn, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
 import { createWriteStream } from "node:fs";
@@ -8,7 +8,9 @@
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
 
-const DAEMON = fileURLToPath(new URL("../src/daemon/main.js", import.meta.url));
+const DAEMON_PATH = fileURLToPath(
+  new URL("../src/daemon/main.js", import.meta.url),
+);
 
 export interface DaemonProcess extends AsyncDisposable {
   readonly name: string;
@@ -16,10 +18,10 @@
   readonly operators: string;
   readonly callers: string;
   readonly child: ChildProcess;
-  /** Everything that the daemon printed goes to this file. */
+  /** File that receives the daemon's stdout and stderr. */
   readonly logFile: string;
   readonly kill: (signal: NodeJS.Signals) => void;
-  /** Resolves with the exit code; null after a signal. */
+  /** Resolves with the exit code, or null if a signal ended the process. */
   readonly ended: Promise<number | null>;
 }
 
@@ -30,7 +32,7 @@
   readonly callers?: string;
 }
 
-/** As in a settings file; the daemon checks it. */
+/** Contents of a settings file; the daemon validates them. */
 export interface DaemonSettings {
   readonly role: "entry" | "agent";
   readonly name: string;
@@ -46,7 +48,7 @@
   const file = path.join(folder, "settings.jsonc");
   const logFile = path.join(folder, "events.log");
   await writeFile(file, JSON.stringify(settings, undefined, 2));
-  const child = spawn(process.execPath, [DAEMON, file], {
+  const child = spawn(process.execPath, [DAEMON_PATH, file], {
     stdio: ["ignore", "pipe", "pipe"],
   });
   const log = createWriteStream(logFile);
@@ -87,7 +89,9 @@
     });
   });
   const failed = ended.then((code) => {
-    throw new Error(`daemon ended with ${String(code)}: see ${logFile}`);
+    throw new Error(
+      `daemon exited with code ${String(code)} before it was ready, see ${logFile}`,
+    );
   });
   return Promise.race([ready, failed]);
 }
--- a/demo/faults.ts
+++ b/demo/faults.ts
@@ -1,53 +1,56 @@
-/** Faults of the demo, each with the check of what must hold after it. */
-import type { Promised } from "./promises.js";
+/** Faults that the demo injects, each with a check made at the end of the run. */
+import type { CheckResult } from "./run-checks.js";
 import type { Site } from "./site.js";
 
 export interface Fault {
   readonly name: string;
-  /** Wait before it, so that the fault before it can be seen to the end. */
-  readonly afterMs: number;
-  /** Resolves with the check that is made at the end of the run. */
-  readonly cause: (site: Site) => Promise<() => Promise<Promised>>;
+  /** Delay before the injection, so that the previous fault has played out. */
+  readonly delayMs: number;
+  /** Injects the fault; resolves with the check for the end of the run. */
+  readonly inject: (site: Site) => Promise<() => Promise<CheckResult>>;
 }
 
-const LAST_NEW_WORK_MS = 3000;
-const LIST_LAG_MS = 2000;
-/** Five windows of reports before the first plan, the fetch, the switch. */
-const MAP_SETTLED_MS = 12_000;
-/** Without every rank's vote no map can change after a runner has left. */
-const WAVE_SETTLED_MS = 20_000;
+const NEW_WORK_GRACE_MS = 3000;
+const VM_LIST_LAG_MS = 2000;
+/** Five report windows until the first plan, then weight fetch and switch. */
+const FIRST_MAP_SWITCH_MS = 12_000;
+/**
+ * Time for a map switch before a runner leaves: a switch needs the vote of
+ * every rank, so none can happen afterwards.
+ */
+const DEMAND_SHIFT_SETTLE_MS = 20_000;
 
-/** The connections to one agent go silent while new ones work. */
+/** Stops delivery on the open connections to one agent; new ones work. */
 export function silenceRunner(index: number): Fault {
   return {
-    name: `connections to runner ${index} go silent`,
-    afterMs: 3000,
-    cause: (site) => {
+    name: `open connections to runner ${index} stop delivering`,
+    delayMs: 3000,
+    inject: (site) => {
       const { relay, engine } = site.runners[index];
       const count = relay.silence();
       const startedBefore = engine.runs.started.length;
       return Promise.resolve(() => {
         const startedSince = engine.runs.started.length - startedBefore;
         return Promise.resolve({
-          name: "a runner behind silent connections gets work on new ones",
-          held: count > 0 && startedSince > 0,
-          detail: `${count} connections, ${startedSince} starts since`,
+          name: "a runner gets work on new connections after open ones stop delivering",
+          hasPassed: count > 0 && startedSince > 0,
+          detail: `${count} connections stopped, ${startedSince} runs started since`,
         });
       });
     },
   };
 }
 
-/** One backend server leaves; the list of VMs shows it late. */
+/** Drains one backend server; the VM list shows the change with a delay. */
 export function drainRunner(index: number): Fault {
   return {
     name: `runner ${index} leaves`,
-    afterMs: WAVE_SETTLED_MS,
-    cause: async (site) => {
+    delayMs: DEMAND_SHIFT_SETTLE_MS,
+    inject: async (site) => {
       const { daemon, engine } = site.runners[index];
       const { name, operators, ended } = daemon.process;
-      const leftAtMs = Date.now();
-      site.vmList.faults.lagMs = LIST_LAG_MS;
+      const drainStartedAtMs = Date.now();
+      site.vmList.faults.lagMs = VM_LIST_LAG_MS;
       site.showVms((vm) =>
         vm.name === name ? { ...vm, state: "leaving" } : vm,
       );
@@ -56,34 +59,35 @@
         const code = await ended;
         const runs = [...engine.runs.runs.values()];
         const late = runs.filter(
-          ({ startedAtMs }) => startedAtMs > leftAtMs + LAST_NEW_WORK_MS,
+          ({ startedAtMs }) =>
+            startedAtMs > drainStartedAtMs + NEW_WORK_GRACE_MS,
         );
-        const cut = runs.filter(({ cancelled }) => cancelled);
+        const cancelled = runs.filter(({ isCancelled }) => isCancelled);
         return {
-          name: "a leaving backend server gets no new work and cuts none",
-          held: code === 0 && late.length === 0 && cut.length === 0,
-          detail: `exit ${String(code)}, late ${late.length}, cut ${cut.length}`,
+          name: "a leaving backend server gets no new work and cancels none",
+          hasPassed: code === 0 && late.length === 0 && cancelled.length === 0,
+          detail: `exit code ${String(code)}, ${late.length} late runs, ${cancelled.length} cancelled runs`,
         };
       };
     },
   };
 }
 
-/** Demand turns to other experts, as when a wave of mandates comes in. */
-export function startWave(): Fault {
+/** Shifts the demand to other experts, as a change in the workload does. */
+export function shiftDemand(): Fault {
   return {
-    name: "other experts become popular",
-    afterMs: MAP_SETTLED_MS,
-    cause: (site) => {
+    name: "demand shifts to other experts",
+    delayMs: FIRST_MAP_SWITCH_MS,
+    inject: (site) => {
       const { group } = site;
       const versionsBefore = group?.versions().length ?? 0;
-      group?.startWave();
+      group?.shiftDemand();
       return Promise.resolve(() => {
         const versions = group?.versions().length ?? 0;
         return Promise.resolve({
-          name: "experts move after the demand for them has turned",
-          held: versions > versionsBefore,
-          detail: `${versionsBefore} versions before, ${versions} now`,
+          name: "experts move after a demand shift",
+          hasPassed: versions > versionsBefore,
+          detail: `${versionsBefore} map versions before, ${versions} now`,
         });
       });
     },
--- a/demo/load.ts
+++ b/demo/load.ts
@@ -1,19 +1,19 @@
-/** Calls at a steady rate until told to stop. */
+/** Generates calls at a given mean rate until stopped. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "../src/internal.js";
 import { makeCall, type Caller, type CallResult } from "./callers.js";
 
-export interface Load {
-  /** Starts no more calls and waits for the open ones. */
+export interface LoadGenerator {
+  /** Stops starting calls and waits for those in flight. */
   readonly finish: () => Promise<readonly CallResult[]>;
 }
 
-export function startLoad(caller: Caller, perSecond: number): Load {
-  const open: Promise<CallResult>[] = [];
+export function startLoad(caller: Caller, perSecond: number): LoadGenerator {
+  const inFlight: Promise<CallResult>[] = [];
   let stopped = false;
   const run = async (): Promise<void> => {
     while (!isStopped()) {
-      open.push(makeCall(caller));
+      inFlight.push(makeCall(caller));
       await sleep(waitMs(caller.random, perSecond));
     }
   };
@@ -23,12 +23,12 @@
     finish: async () => {
       stopped = true;
       await running;
-      return Promise.all(open);
+      return Promise.all(inFlight);
     },
   };
 }
 
-/** Random gaps, so that calls come in bunches as they do from people. */
+/** Exponential interval: calls arrive as a Poisson process, in bursts. */
 function waitMs(random: Random, perSecond: number): number {
   return (-Math.log(1 - random()) / perSecond) * 1000;
 }
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run demo [-- --site dyfrwr|ben-ammar] [--seed N]`: a whole site on
- * loopback under a mixed load with a few faults. Ends by itself, with exit code
- * 0 only if every promise held.
+ * `npm run demo [-- --site dyfrwr|ben-ammar] [--seed N]`: runs a complete site
+ * on loopback under a mixed load and injects a few faults. Exits by itself, with
+ * code 0 only if every check passed.
  */
 import { mkdtemp, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
@@ -19,25 +19,30 @@
   siteConfiguration,
   type SiteName,
 } from "./configurations.js";
-import { drainRunner, silenceRunner, startWave, type Fault } from "./faults.js";
+import {
+  drainRunner,
+  silenceRunner,
+  shiftDemand,
+  type Fault,
+} from "./faults.js";
 import { startLoad } from "./load.js";
 import {
-  judgeCalls,
-  outcomeHead,
+  checkCalls,
+  outcomeHeader,
   outcomeRows,
   startsByMarker,
-  type Promised,
-} from "./promises.js";
+  type CheckResult,
+} from "./run-checks.js";
 import type { SkewSample } from "./site-group.js";
 import { startSite, type Site } from "./site.js";
 import { runTool, runToolJson } from "./tool-process.js";
 
-const RUNNERS = 12;
-const SERVICES = 3;
+const RUNNER_COUNT = 12;
+const SERVICE_COUNT = 3;
 const STEP_MS = 5;
 const CALLS_PER_SECOND = 60;
-const AFTER_FAULTS_MS = 4000;
-const EXIT_BROKEN = 1;
+const SETTLE_AFTER_FAULTS_MS = 4000;
+const EXIT_FAILED = 1;
 
 const dataCentres: Readonly<Record<SiteName, readonly string[]>> = {
   dyfrwr: ["caerdydd", "abertawe", "casnewydd"],
@@ -51,52 +56,52 @@
   },
 });
 
-function say(text: string): void {
+function print(text: string): void {
   console.log(text);
 }
 
-/** Publishes through the tool; the answer of the first append is lost. */
-async function publish(site: Site, name: SiteName): Promise<Promised> {
+/** Publishes with the command-line tool; the first append gets no response. */
+async function publish(site: Site, name: SiteName): Promise<CheckResult> {
   const folder = await mkdtemp(path.join(tmpdir(), "apricotdeck-"));
   const file = path.join(folder, `${name}.jsonc`);
-  await writeFile(file, JSON.stringify(siteConfiguration(name, RUNNERS)));
+  await writeFile(file, JSON.stringify(siteConfiguration(name, RUNNER_COUNT)));
   site.log.faults.loseAppendAnswers = 1;
   const { code, stdout, stderr } = await runTool(site, "publish", file);
-  say(stdout.trim().split("\n").at(-1) ?? "");
+  print(stdout.trim().split("\n").at(-1) ?? "");
   return {
-    name: "a publication is in force everywhere, its append's answer lost",
-    held: code === 0,
+    name: "a publication takes effect everywhere although its append got no response",
+    hasPassed: code === 0,
     detail: code === 0 ? "" : stderr,
   };
 }
 
-/** Skew and cost of rebalancing, as far as the site has a lock-step group. */
-function judgeMaps(site: Site, before: SkewSample | undefined): Promised[] {
+/** Checks rebalancing and prints skew and cost, if the site has a group. */
+function checkMaps(site: Site, before: SkewSample | undefined): CheckResult[] {
   const { group } = site;
   if (group === undefined) return [];
   const after = group.skew();
   const switches = group.versions().length - 1;
   const bytes = group.weightStore.servedBytes();
-  say(
+  print(
     `skew ${before?.skew.toFixed(3) ?? "?"} before, ${after.skew.toFixed(3)} after; ` +
       `${switches} map switches, ${bytes} bytes of weights moved`,
   );
-  const mixed = group.mixedSteps();
+  const mixed = group.countMixedSteps();
   return [
     {
-      name: "in every step all ranks use the same expert map",
-      held: mixed === 0 && group.steps.length > 0,
-      detail: `${mixed} mixed of ${group.steps.length} rank steps`,
+      name: "all ranks use the same expert map in every step",
+      hasPassed: mixed === 0 && group.steps.length > 0,
+      detail: `${mixed} of ${group.steps.length} rank steps used another map`,
     },
     {
       name: "the map follows the demand for experts",
-      held: switches > 0,
-      detail: `${switches} switches`,
+      hasPassed: switches > 0,
+      detail: `${switches} map switches`,
     },
   ];
 }
 
-async function judgeConservation(site: Site): Promise<Promised> {
+async function checkConservation(site: Site): Promise<CheckResult> {
   const status = (await runToolJson(site, "status")) as {
     readonly balanced: boolean;
     readonly conservation: Readonly<Record<string, number>>;
@@ -104,10 +109,10 @@
   const counts = Object.entries(status.conservation)
     .map(([name, count]) => `${name} ${count}`)
     .join(", ");
-  say(`conservation over all entries: ${counts}`);
+  print(`conservation over all entries: ${counts}`);
   return {
     name: "accepted requests are all accounted for",
-    held: status.balanced && status.conservation.inFlight === 0,
+    hasPassed: status.balanced && status.conservation.inFlight === 0,
     detail: counts,
   };
 }
@@ -115,25 +120,27 @@
 async function runFaults(
   site: Site,
   faults: readonly Fault[],
-): Promise<Promised[]> {
-  const checks: (() => Promise<Promised>)[] = [];
-  for (const { name, afterMs, cause } of faults) {
-    await sleep(afterMs);
-    say(`fault: ${name}`);
-    checks.push(await cause(site));
+): Promise<CheckResult[]> {
+  const checks: (() => Promise<CheckResult>)[] = [];
+  for (const { name, delayMs, inject } of faults) {
+    await sleep(delayMs);
+    print(`fault: ${name}`);
+    checks.push(await inject(site));
   }
-  await sleep(AFTER_FAULTS_MS);
+  await sleep(SETTLE_AFTER_FAULTS_MS);
   return Promise.all(checks.map((check) => check()));
 }
 
-async function run(name: SiteName, seed: number): Promise<boolean> {
+async function runDemo(name: SiteName, seed: number): Promise<boolean> {
   const random = createRandom(seed);
-  say(`starting ${name}: 3 entries, ${RUNNERS} runners, ${SERVICES} services`);
+  print(
+    `starting ${name}: 3 entries, ${RUNNER_COUNT} runners, ${SERVICE_COUNT} services`,
+  );
   await using site = await startSite({
     dataCentres: dataCentres[name],
     entriesPerDataCentre: 1,
-    runners: RUNNERS,
-    services: SERVICES,
+    runners: RUNNER_COUNT,
+    services: SERVICE_COUNT,
     stepMs: STEP_MS,
     modelGroup: MODEL_GROUP,
     serviceGroup: SERVICE_GROUP,
@@ -147,31 +154,31 @@
   const published = await publish(site, name);
   await site.settled();
   const addresses = site.entries.map((entry) => entry.daemon.process.callers);
-  const skewBefore = await site.group?.firstSkew();
+  const skewBefore = await site.group?.waitForSkew();
   const caller = { site: name, addresses: () => addresses, random };
-  say(`load: ${CALLS_PER_SECOND} calls a second`);
+  print(`load: ${CALLS_PER_SECOND} calls a second`);
   const load = startLoad(caller, CALLS_PER_SECOND);
-  const faults = [silenceRunner(0), startWave(), drainRunner(1)];
+  const faults = [silenceRunner(0), shiftDemand(), drainRunner(1)];
   const afterFaults = await runFaults(site, faults);
   const results = await load.finish();
-  say("");
-  say(renderTable(outcomeHead, outcomeRows(results)));
-  say("");
-  const promises = [
+  print("");
+  print(renderTable(outcomeHeader, outcomeRows(results)));
+  print("");
+  const checks = [
     published,
-    ...judgeCalls(results, startsByMarker(site)),
+    ...checkCalls(results, startsByMarker(site)),
     ...afterFaults,
-    ...judgeMaps(site, skewBefore),
-    await judgeConservation(site),
+    ...checkMaps(site, skewBefore),
+    await checkConservation(site),
   ];
-  say("");
-  for (const { name: promise, held, detail } of promises) {
-    say(
-      `${held ? "held  " : "BROKEN"}  ${promise}${held ? "" : `: ${detail}`}`,
+  print("");
+  for (const { name: check, hasPassed, detail } of checks) {
+    print(
+      `${hasPassed ? "passed" : "FAILED"}  ${check}${hasPassed ? "" : `: ${detail}`}`,
     );
   }
-  return promises.every(({ held }) => held);
+  return checks.every(({ hasPassed }) => hasPassed);
 }
 
-const held = await run(values.site as SiteName, Number(values.seed));
-process.exit(held ? 0 : EXIT_BROKEN);
+const hasPassed = await runDemo(values.site as SiteName, Number(values.seed));
+process.exit(hasPassed ? 0 : EXIT_FAILED);
--- a/demo/promises.ts
+++ b/demo/run-checks.ts
@@ -1,13 +1,13 @@
 /**
- * What must hold at the end of the demo and of a long run, judged from the
- * callers' results and from the runners' own records.
+ * Checks at the end of a demo or soak run, based on the callers' results and
+ * the runners' own records.
  */
 import type { CallKind, CallOutcome, CallResult } from "./callers.js";
 import type { Site } from "./site.js";
 
-export interface Promised {
+export interface CheckResult {
   readonly name: string;
-  readonly held: boolean;
+  readonly hasPassed: boolean;
   readonly detail: string;
 }
 
@@ -22,7 +22,7 @@
 
 const kinds: readonly CallKind[] = ["stream", "whole", "records", "order"];
 
-/** How often each marker was started, over all runners. */
+/** Number of runs started per marker, over all runners and services. */
 export function startsByMarker(site: Site): ReadonlyMap<string, number> {
   const starts = new Map<string, number>();
   const count = (marker: string): void => {
@@ -35,37 +35,49 @@
   return starts;
 }
 
-export function judgeCalls(
+export function checkCalls(
   results: readonly CallResult[],
   starts: ReadonlyMap<string, number>,
-): Promised[] {
+): CheckResult[] {
   const wrong = results.filter(({ outcome }) => outcome === "wrong");
-  const silent = results.filter(({ outcome }) => outcome === "no-answer");
-  const untrue = results.filter(
+  const unanswered = results.filter(({ outcome }) => outcome === "no-answer");
+  const refusedButStarted = results.filter(
     ({ outcome, marker }) =>
       outcome === "not-run" && (starts.get(marker) ?? 0) > 0,
   );
-  const doubled = results.filter(
+  const executedTwice = results.filter(
     ({ kind, marker }) => kind === "order" && (starts.get(marker) ?? 0) > 1,
   );
   return [
-    promised("each answer is whole and the caller's own", wrong),
-    promised("every caller gets an answer or a refusal", silent),
-    promised("what was refused as not run never started", untrue),
-    promised("an order runs once at the most", doubled),
+    createCheckResult(
+      "each answer is complete and belongs to its caller",
+      wrong,
+    ),
+    createCheckResult(
+      "every caller gets an answer or an error response",
+      unanswered,
+    ),
+    createCheckResult(
+      "a call that was refused as not run never started",
+      refusedButStarted,
+    ),
+    createCheckResult("an order runs at most once", executedTwice),
   ];
 }
 
-function promised(name: string, failed: readonly CallResult[]): Promised {
+function createCheckResult(
+  name: string,
+  failed: readonly CallResult[],
+): CheckResult {
   const first = failed.at(0);
   const detail =
     first === undefined
       ? ""
       : `${failed.length} failed, first: ${first.kind} ${first.detail}`;
-  return { name, held: failed.length === 0, detail };
+  return { name, hasPassed: failed.length === 0, detail };
 }
 
-/** Rows of kind, calls, a column for each outcome, and latency. */
+/** Table rows: kind, number of calls, count per outcome, p95 latencies. */
 export function outcomeRows(results: readonly CallResult[]): string[][] {
   return kinds.map((kind) => {
     const calls = results.filter((result) => result.kind === kind);
@@ -84,7 +96,7 @@
   });
 }
 
-export const outcomeHead: readonly string[] = [
+export const outcomeHeader: readonly string[] = [
   "calls of",
   "number",
   ...outcomes,
--- a/demo/site-group.ts
+++ b/demo/site-group.ts
@@ -1,7 +1,7 @@
 /**
- * The engines of a site's model pool as one lock-step group with a weight
- * store. Whenever an engine begins a step, its running requests get a token,
- * so a straggler slows every answer down as it does in earnest.
+ * The engines of a site's model pool as one lockstep group with a weight store.
+ * Running requests get one token per step of their engine, so a straggler slows
+ * down every response, as in a real group.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandom, type Random, type StepReport } from "../src/internal.js";
@@ -31,19 +31,19 @@
 export interface SkewSample {
   readonly fromStep: number;
   readonly steps: number;
-  /** Mean over steps of longest rank time over mean rank time. */
+  /** Longest rank time divided by mean rank time, averaged over steps. */
   readonly skew: number;
 }
 
 const STEP_MS = 4;
-/** About as much again as the fixed part of a step, for an even map. */
+/** With an even map, tokens cost about as much as the fixed step time. */
 const TOKEN_MS = 0.01;
 const TOKENS_PER_LAYER = 1200;
-const STORE_BYTES_PER_SECOND = 4_000_000;
-const LARGEST_REPORT_DELAY_MS = 60;
+const WEIGHT_STORE_BYTES_PER_SECOND = 4_000_000;
+const MAX_REPORT_DELAY_MS = 60;
 const LOST_REPORT_SHARE = 0.05;
 const SKEW_SAMPLE_STEPS = 200;
-const FIRST_SAMPLE_STEPS = 50;
+const MIN_SAMPLE_STEPS = 50;
 const POLL_MS = 100;
 
 export class SiteGroup implements AsyncDisposable {
@@ -51,8 +51,8 @@
   private readonly group: EngineGroup;
   private readonly engines = new Map<string, EngineStandIn>();
   private readonly stopSteps: () => void;
-  /** Shifts which experts are popular. */
-  private wave = 0;
+  /** Number of demand shifts so far. */
+  private demandShifts = 0;
 
   private constructor(
     private readonly options: SiteGroupOptions,
@@ -68,7 +68,7 @@
       reportDelayMs: () =>
         random() < LOST_REPORT_SHARE
           ? undefined
-          : random() * LARGEST_REPORT_DELAY_MS,
+          : random() * MAX_REPORT_DELAY_MS,
       onStep: (record) => {
         this.steps.push(record);
         this.engines.get(record.member)?.step();
@@ -80,30 +80,30 @@
   static async create(options: SiteGroupOptions): Promise<SiteGroup> {
     const store = await startWeightStore({
       bytesPerExpert: options.bytesPerExpert,
-      bytesPerSecond: STORE_BYTES_PER_SECOND,
+      bytesPerSecond: WEIGHT_STORE_BYTES_PER_SECOND,
     });
     return new SiteGroup(options, store);
   }
 
-  /** Other experts become popular from now on. */
-  startWave(): void {
-    this.wave += 1;
+  /** Makes other experts the most loaded ones. */
+  shiftDemand(): void {
+    this.demandShifts += 1;
   }
 
-  /** Adds an engine; answers its part of the engine's interface. */
-  join(member: string): (call: StandInCall) => Promise<boolean> {
+  /** Adds an engine; returns the handler of its group endpoints. */
+  addEngine(member: string): (call: StandInCall) => Promise<boolean> {
     this.group.start(member);
     const group = this.group;
     return createEngineInterface({ group, member, checksFencing: false })
       .answer;
   }
 
-  bind(member: string, engine: EngineStandIn): void {
+  attachEngine(member: string, engine: EngineStandIn): void {
     this.engines.set(member, engine);
   }
 
-  /** Steps of which two ranks ran on different maps. */
-  mixedSteps(): number {
+  /** Rank steps on another map than the first rank used in that step. */
+  countMixedSteps(): number {
     const maps = new Map<string, string>();
     return this.steps.filter(({ group, step, mapHash }) => {
       const key = `${group.number}/${group.author}/${step}`;
@@ -113,12 +113,12 @@
     }).length;
   }
 
-  /** Versions that the group ran on, in order. */
+  /** Map versions that the group used, in order. */
   versions(): readonly number[] {
     return [...new Set(this.steps.map(({ version }) => version))];
   }
 
-  /** Skew over the last steps that every rank has reported. */
+  /** Skew over the most recent steps that every rank has reported. */
   skew(): SkewSample {
     const reports = [...this.engines.keys()].flatMap((member) => [
       ...this.group.reports(member, 0, Date.now()),
@@ -141,11 +141,11 @@
     };
   }
 
-  /** Skew of the map that the group formed with, once it is known. */
-  async firstSkew(): Promise<SkewSample> {
+  /** Waits for enough reports and returns the skew of the initial map. */
+  async waitForSkew(): Promise<SkewSample> {
     for (;;) {
       const sample = this.skew();
-      if (sample.steps >= FIRST_SAMPLE_STEPS) return sample;
+      if (sample.steps >= MIN_SAMPLE_STEPS) return sample;
       await sleep(POLL_MS);
     }
   }
@@ -155,15 +155,18 @@
     await this.weightStore[Symbol.asyncDispose]();
   }
 
-  /** A few experts of each layer take most tokens; a little noise on all. */
+  /** Zipf-like demand per layer with up to 5% noise. */
   private demand(random: Random): number[][] {
     const { layers, experts } = this.options;
-    const ranks = Array.from({ length: experts }, (_, index) => index);
-    const weights = ranks.map((rank) => 1 / (1 + rank));
+    const popularityRanks = Array.from(
+      { length: experts },
+      (_, index) => index,
+    );
+    const weights = popularityRanks.map((rank) => 1 / (1 + rank));
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     return Array.from({ length: layers }, (_, layer) =>
-      ranks.map((expert) => {
-        const shifted = (expert + 5 * layer + 11 * this.wave) % experts;
+      popularityRanks.map((expert) => {
+        const shifted = (expert + 5 * layer + 11 * this.demandShifts) % experts;
         const noise = 0.95 + 0.1 * random();
         return (TOKENS_PER_LAYER * weights[shifted] * noise) / total;
       }),
--- a/demo/site-members.ts
+++ b/demo/site-members.ts
@@ -1,4 +1,4 @@
-/** The daemons of a site with what stands beside them. */
+/** The daemons of a site with their engines, services and relays. */
 import type { Vm } from "../src/platform/vm-list-client.js";
 import { startEngine, type EngineStandIn } from "../standins/engine.js";
 import {
@@ -16,7 +16,7 @@
   type DaemonSettings,
 } from "./daemon-process.js";
 
-/** One daemon that can be started again under the same name. */
+/** A daemon that can be restarted under the same name. */
 export class SiteDaemon {
   private constructor(
     private readonly settings: DaemonSettings,
@@ -27,7 +27,7 @@
     return new SiteDaemon(settings, await startDaemonProcess(settings));
   }
 
-  /** The process that runs under the name now. */
+  /** The current process. */
   get process(): DaemonProcess {
     return this.current;
   }
@@ -46,7 +46,7 @@
     };
   }
 
-  /** Kills the process without warning and starts a new one. */
+  /** Kills the process with SIGKILL and starts a new one. */
   async restart(): Promise<void> {
     await this.current[Symbol.asyncDispose]();
     this.current = await startDaemonProcess(this.settings);
@@ -59,13 +59,13 @@
 
 export interface SiteMember extends AsyncDisposable {
   readonly daemon: SiteDaemon;
-  /** As the list of VMs shows it. */
+  /** The daemon's entry in the VM list. */
   readonly vm: () => Vm;
 }
 
 export interface SiteRunner extends SiteMember {
   readonly engine: EngineStandIn;
-  /** Between the entries and the agent. */
+  /** Relays connections from the entries to the agent. */
   readonly relay: SilentRelay;
 }
 
@@ -75,27 +75,27 @@
 
 export interface RunnerOptions {
   readonly stepMs: number;
-  /** An engine that runs elsewhere, in place of a stand-in. */
+  /** Address of an external engine to use instead of a simulated one. */
   readonly engineAddress: string | undefined;
-  /** Engines that step together on an expert map. */
+  /** The lockstep group that the engine belongs to, if any. */
   readonly group: SiteGroup | undefined;
 }
 
-/** An engine that nobody calls need not step often. */
+/** Step time of the unused simulated engine when an external one is set. */
 const IDLE_STEP_MS = 1000;
 
 export async function startRunner(
   settings: DaemonSettings,
   { stepMs, engineAddress, group }: RunnerOptions,
 ): Promise<SiteRunner> {
-  const isElsewhere = engineAddress !== undefined;
-  const extension = group?.join(settings.name);
+  const hasExternalEngine = engineAddress !== undefined;
+  const extension = group?.addEngine(settings.name);
   const engine = await startEngine({
-    stepMs: isElsewhere ? IDLE_STEP_MS : stepMs,
+    stepMs: hasExternalEngine ? IDLE_STEP_MS : stepMs,
     ownSteps: group === undefined,
     ...(extension === undefined ? {} : { extension }),
   });
-  group?.bind(settings.name, engine);
+  group?.attachEngine(settings.name, engine);
   const address = engineAddress ?? engine.address;
   const runner = { address, kind: "model" };
   const daemon = await SiteDaemon.create({ ...settings, runner });
@@ -104,10 +104,10 @@
     daemon,
     engine,
     relay,
-    // The relay runs in this process: with engines elsewhere, as in a
-    // measurement, it would be measured too.
+    // External engines are used for measurements. The relay runs in this
+    // process and would distort them, so it is bypassed.
     vm: () =>
-      isElsewhere ? daemon.vm : { ...daemon.vm, address: relay.address },
+      hasExternalEngine ? daemon.vm : { ...daemon.vm, address: relay.address },
     async [Symbol.asyncDispose]() {
       await daemon[Symbol.asyncDispose]();
       await relay[Symbol.asyncDispose]();
--- a/demo/site.ts
+++ b/demo/site.ts
@@ -1,6 +1,6 @@
 /**
- * A whole site on loopback: the platform's stand-ins in this process, every
- * entry and agent as a process of its own.
+ * A complete site on loopback: the simulated platform services run in this
+ * process, every entry and agent in a separate one.
  */
 import { BASELINE_FORMAT, encodeEnvelope } from "../src/internal.js";
 import { LogClient } from "../src/platform/log-client.js";
@@ -21,33 +21,33 @@
 export interface SiteOptions {
   readonly dataCentres: readonly string[];
   readonly entriesPerDataCentre: number;
-  /** Model runners, spread over the data centres in turn. */
+  /** Model runners, assigned to the data centres round-robin. */
   readonly runners: number;
   readonly services: number;
   readonly stepMs: number;
   readonly modelGroup: string;
   readonly serviceGroup: string;
   readonly logLevel?: string;
-  /** Engines that run elsewhere, in place of one stand-in for each runner. */
+  /** External engines, by runner index, to use instead of simulated ones. */
   readonly engineAddresses?: readonly string[];
   readonly graceMs?: number;
-  /** The runners' engines as one lock-step group; each on its own if absent. */
+  /** Runs the engines as one lockstep group; without it they're independent. */
   readonly group?: SiteGroupOptions;
 }
 
 export interface Site extends AsyncDisposable {
   readonly log: LogStandIn;
   readonly vmList: VmListStandIn;
-  /** Undefined when every engine steps on its own. */
+  /** Undefined if the engines run independently. */
   readonly group: SiteGroup | undefined;
   readonly entries: readonly SiteMember[];
   readonly runners: readonly SiteRunner[];
   readonly services: readonly SiteService[];
-  /** Shows the daemons as they are now, changed where asked. */
+  /** Updates the VM list from the daemons; `change` can alter each entry. */
   readonly showVms: (change?: (vm: Vm) => Vm) => void;
   /** Appends a publication as the command-line tool does. */
   readonly publish: (configuration: unknown) => Promise<void>;
-  /** Resolves when every entry serves and sees every backend server. */
+  /** Resolves once every entry has a configuration and sees all backends. */
   readonly settled: () => Promise<void>;
 }
 
@@ -128,7 +128,7 @@
       logLevel: options.logLevel ?? "info",
       graceMs: options.graceMs ?? GRACE_MS,
     };
-    // Ten seconds a window would be most of a demo.
+    // The default report window of ten seconds is too long for a demo.
     const limits = { windowSteps: WINDOW_STEPS };
     if (kind === "entry") return { role: "entry", ...common };
     return kind === "runner"
--- a/demo/soak.ts
+++ b/demo/soak.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run soak -- --seconds N --seed N`: a site of separate processes under a
- * mixed load and random faults, alone and together. The daemons assert their
- * invariants; the run ends with the conservation table and exit code 0 only if
- * every promise held.
+ * `npm run soak -- --seconds N --seed N`: runs a site of separate processes
+ * under a mixed load and injects random faults, one or two at a time. The
+ * daemons assert their invariants. Prints the request conservation counts at the
+ * end and exits with code 0 only if every check passed.
  */
 import { readFile } from "node:fs/promises";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -17,25 +17,25 @@
 import type { CallResult } from "./callers.js";
 import { startLoad } from "./load.js";
 import {
-  judgeCalls,
-  outcomeHead,
+  checkCalls,
+  outcomeHeader,
   outcomeRows,
   startsByMarker,
-  type Promised,
-} from "./promises.js";
+  type CheckResult,
+} from "./run-checks.js";
 import { startSite, type Site } from "./site.js";
 import { runToolJson } from "./tool-process.js";
 
-const EXIT_BROKEN = 1;
+const EXIT_FAILED = 1;
 const CALLS_PER_SECOND = 40;
 const SETTLE_MS = 8000;
-const LONGEST_GAP_MS = 4000;
+const MAX_FAULT_GAP_MS = 4000;
 const OUTAGE_MS = 2500;
-const FREEZE_MS = 3000;
+const PAUSE_MS = 3000;
 
 interface RandomFault {
   readonly name: string;
-  readonly cause: (site: Site, random: Random) => Promise<void>;
+  readonly inject: (site: Site, random: Random) => Promise<void>;
 }
 
 function pick<T>(random: Random, items: readonly T[]): T {
@@ -45,14 +45,14 @@
 const faults: readonly RandomFault[] = [
   {
     name: "silent connections",
-    cause: (site, random) => {
+    inject: (site, random) => {
       pick(random, site.runners).relay.silence();
       return Promise.resolve();
     },
   },
   {
     name: "agent killed and replaced",
-    cause: async (site, random) => {
+    inject: async (site, random) => {
       const members = [...site.runners, ...site.services];
       await pick(random, members).daemon.restart();
       site.showVms();
@@ -60,26 +60,26 @@
   },
   {
     name: "agent frozen for a while",
-    cause: async (site, random) => {
+    inject: async (site, random) => {
       const { daemon } = pick(random, [...site.runners, ...site.services]);
       const { process } = daemon;
       process.kill("SIGSTOP");
-      await sleep(FREEZE_MS);
+      await sleep(PAUSE_MS);
       process.kill("SIGCONT");
     },
   },
   {
     name: "entry frozen for a while",
-    cause: async (site, random) => {
+    inject: async (site, random) => {
       const { process } = pick(random, site.entries).daemon;
       process.kill("SIGSTOP");
-      await sleep(FREEZE_MS);
+      await sleep(PAUSE_MS);
       process.kill("SIGCONT");
     },
   },
   {
     name: "log outage",
-    cause: async (site) => {
+    inject: async (site) => {
       site.log.faults.outage = true;
       await sleep(OUTAGE_MS);
       site.log.faults.outage = false;
@@ -87,7 +87,7 @@
   },
   {
     name: "log slow, two append answers lost",
-    cause: async (site) => {
+    inject: async (site) => {
       site.log.faults.slowMs = 300;
       site.log.faults.loseAppendAnswers = 2;
       await sleep(OUTAGE_MS);
@@ -96,7 +96,7 @@
   },
   {
     name: "slow backend server",
-    cause: async (site, random) => {
+    inject: async (site, random) => {
       const { engine } = pick(random, site.runners);
       engine.faults.slowStepMs = 40;
       await sleep(OUTAGE_MS);
@@ -105,14 +105,14 @@
   },
   {
     name: "engine cuts two streams",
-    cause: (site, random) => {
+    inject: (site, random) => {
       pick(random, site.runners).engine.faults.cutStreams = 2;
       return Promise.resolve();
     },
   },
   {
     name: "list of VMs down",
-    cause: async (site) => {
+    inject: async (site) => {
       site.vmList.faults.outage = true;
       await sleep(OUTAGE_MS);
       site.vmList.faults.outage = false;
@@ -120,43 +120,46 @@
   },
 ];
 
-/** One or two at a time, at random moments; returns how often each came. */
-async function causeFaults(
+/** Injects one or two faults at random intervals; counts them by name. */
+async function injectFaults(
   site: Site,
   random: Random,
   untilMs: number,
 ): Promise<ReadonlyMap<string, number>> {
   const counts = new Map<string, number>();
-  const open: Promise<void>[] = [];
+  const pending: Promise<void>[] = [];
   while (Date.now() < untilMs) {
-    await sleep(random() * LONGEST_GAP_MS);
-    const together = random() < 0.3 ? 2 : 1;
-    for (let index = 0; index < together; index += 1) {
+    await sleep(random() * MAX_FAULT_GAP_MS);
+    const faultCount = random() < 0.3 ? 2 : 1;
+    for (let index = 0; index < faultCount; index += 1) {
       const fault = pick(random, faults);
       counts.set(fault.name, (counts.get(fault.name) ?? 0) + 1);
       console.log(`fault: ${fault.name}`);
-      open.push(fault.cause(site, random));
+      pending.push(fault.inject(site, random));
     }
-    await Promise.all(open);
+    await Promise.all(pending);
   }
   return counts;
 }
 
-async function readConservation(
+async function checkConservation(
   site: Site,
-): Promise<{ promise: Promised; counts: Readonly<Record<string, number>> }> {
+): Promise<{ check: CheckResult; counts: Readonly<Record<string, number>> }> {
   const status = (await runToolJson(site, "status")) as {
     readonly balanced: boolean;
     readonly conservation: Readonly<Record<string, number>>;
   };
   const counts = status.conservation;
-  const held = status.balanced && counts.inFlight === 0;
+  const hasPassed = status.balanced && counts.inFlight === 0;
   const name = "accepted requests are all accounted for";
-  return { promise: { name, held, detail: JSON.stringify(counts) }, counts };
+  return { check: { name, hasPassed, detail: JSON.stringify(counts) }, counts };
 }
 
-/** Event 104 in any daemon's log, also of daemons that are gone. */
-async function violations(site: Site): Promise<Promised> {
+/**
+ * Searches the log of each daemon's latest process for event 104
+ * (invariant-violated), also if the process has exited.
+ */
+async function checkInvariants(site: Site): Promise<CheckResult> {
   const members = [...site.entries, ...site.runners, ...site.services];
   const texts = await Promise.all(
     members.map(({ daemon }) => readFile(daemon.process.logFile, "utf8")),
@@ -166,22 +169,22 @@
     .filter((line) => line.includes('"event":104,'));
   const detail = lines.at(0) ?? "";
   const name = "no invariant was violated inside a daemon";
-  return { name, held: lines.length === 0, detail };
+  return { name, hasPassed: lines.length === 0, detail };
 }
 
-function printEnd(
+function printReport(
   results: readonly CallResult[],
   counts: Readonly<Record<string, number>>,
-  promises: readonly Promised[],
+  checks: readonly CheckResult[],
 ): void {
-  console.log(renderTable(outcomeHead, outcomeRows(results)));
+  console.log(renderTable(outcomeHeader, outcomeRows(results)));
   console.log("");
   const cells = Object.values(counts).map(String);
   console.log(renderTable(Object.keys(counts), [cells]));
   console.log("");
-  for (const { name, held, detail } of promises) {
+  for (const { name, hasPassed, detail } of checks) {
     console.log(
-      `${held ? "held  " : "BROKEN"}  ${name}${held ? "" : `: ${detail}`}`,
+      `${hasPassed ? "passed" : "FAILED"}  ${name}${hasPassed ? "" : `: ${detail}`}`,
     );
   }
 }
@@ -208,27 +211,27 @@
     },
     CALLS_PER_SECOND,
   );
-  const counts = await causeFaults(site, random, Date.now() + seconds * 1000);
+  const counts = await injectFaults(site, random, Date.now() + seconds * 1000);
   await sleep(SETTLE_MS);
   const results = await load.finish();
-  const conservation = await readConservation(site);
-  const promises = [
-    ...judgeCalls(results, startsByMarker(site)),
-    conservation.promise,
-    await violations(site),
+  const conservation = await checkConservation(site);
+  const checks = [
+    ...checkCalls(results, startsByMarker(site)),
+    conservation.check,
+    await checkInvariants(site),
   ];
-  printEnd(results, conservation.counts, promises);
-  const broken = promises.filter(({ held }) => !held).length;
+  printReport(results, conservation.counts, checks);
+  const failedCount = checks.filter(({ hasPassed }) => !hasPassed).length;
   console.log(
     JSON.stringify({
       soak: seconds,
       seed,
       calls: results.length,
       faults: Object.fromEntries(counts),
-      broken,
+      broken: failedCount,
     }),
   );
-  return broken === 0;
+  return failedCount === 0;
 }
 
 const { values } = parseArgs({
@@ -238,5 +241,5 @@
   },
 });
 
-const held = await soak(Number(values.seconds), Number(values.seed));
-process.exit(held ? 0 : EXIT_BROKEN);
+const hasPassed = await soak(Number(values.seconds), Number(values.seed));
+process.exit(hasPassed ? 0 : EXIT_FAILED);
--- a/demo/tool-process.ts
+++ b/demo/tool-process.ts
@@ -1,9 +1,9 @@
-/** Runs the command-line tool as a process of its own against a site. */
+/** Runs the command-line tool as a separate process against a site. */
 import { execFile } from "node:child_process";
 import { fileURLToPath } from "node:url";
 import type { Site } from "./site.js";
 
-const TOOL = fileURLToPath(new URL("../src/cli/main.js", import.meta.url));
+const TOOL_PATH = fileURLToPath(new URL("../src/cli/main.js", import.meta.url));
 
 export interface ToolResult {
   readonly code: number;
@@ -23,7 +23,7 @@
   return new Promise((resolve) => {
     execFile(
       process.execPath,
-      [TOOL, ...args],
+      [TOOL_PATH, ...args],
       { env },
       (error, stdout, stderr) => {
         const code = typeof error?.code === "number" ? error.code : 0;
--- a/examples/embed.ts
+++ b/examples/embed.ts
@@ -1,6 +1,6 @@
 /**
- * Embeds one coordination part: decides publications as every process does,
- * from records of any log.
+ * Uses the library without a daemon: applies log records to the configuration
+ * state to decide which publications are accepted.
  */
 import {
   applyRecords,
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,7 @@
 /**
- * Bundles the daemon of the users' platform into a few files, one for what both
- * roles need and one for each role: a start then reads and compiles what it
- * uses, in place of some hundred modules.
+ * Bundles the daemon of the users' platform into a shared chunk and one chunk
+ * per role. A process then loads and compiles only what its role uses instead
+ * of about a hundred modules.
  */
 import { build } from "esbuild";
 
@@ -16,13 +16,14 @@
   platform: "node",
   target: "node20",
   format: "esm",
-  // jsonc-parser and others ship a UMD build as "main" that can not be bundled.
+  // The "main" entry of jsonc-parser and others is a UMD build, which esbuild
+  // can't bundle.
   mainFields: ["module", "main"],
-  // Not minified: the trace of a crash is all that is left to explain it.
+  // Not minified, so that stack traces of crashes stay readable.
   keepNames: true,
-  // bunyan asks for these and goes on without them.
+  // Optional dependencies of bunyan, which works without them.
   external: ["dtrace-provider", "mv", "source-map-support", "moment"],
-  // CommonJS packages inside the bundle ask for `require`.
+  // Bundled CommonJS packages call `require`.
   banner: {
     js: "import { createRequire } from 'node:module'; const require = createRequire(import.meta.url);",
   },
--- a/scripts/generate-docs.ts
+++ b/scripts/generate-docs.ts
@@ -1,4 +1,4 @@
-/** Writes the reference pages that are made from tables in the code. */
+/** Generates the reference pages from the schemas and tables in the code. */
 import { writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import { errorTable, type ErrorEntry } from "../src/shared/errors.js";
@@ -9,15 +9,15 @@
 import { directSettingsSchema } from "../src/direct/settings.js";
 import { settingRows } from "./setting-rows.js";
 
-const NOTE =
+const GENERATED_NOTE =
   "<!-- Made from the code by `npm run generate`; edits here are lost. -->";
 
-function write(page: string, lines: readonly string[]): void {
+function writePage(page: string, lines: readonly string[]): void {
   const file = fileURLToPath(new URL(`../../docs/${page}`, import.meta.url));
   writeFileSync(file, [...lines, ""].join("\n"));
 }
 
-function table(
+function formatTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
 ): string[] {
@@ -36,7 +36,7 @@
     item.remedy,
   ]);
   const head = ["Number", "Name", "HTTP", "Outcome", "Meaning", "What to do"];
-  return ["# Errors", "", NOTE, "", ...table(head, rows)];
+  return ["# Errors", "", GENERATED_NOTE, "", ...formatTable(head, rows)];
 }
 
 function eventPage(): string[] {
@@ -51,7 +51,7 @@
       .join("; "),
   ]);
   const head = ["Number", "Name", "Level", "Meaning", "Fields"];
-  return ["# Events", "", NOTE, "", ...table(head, rows)];
+  return ["# Events", "", GENERATED_NOTE, "", ...formatTable(head, rows)];
 }
 
 function metricPage(): string[] {
@@ -66,7 +66,15 @@
   const head = ["Metric", "Kind", "Unit", "Labels", "Meaning"];
   const note =
     "Every metric also carries the labels `process` and `data_centre`. The usual process metrics of the runtime come with them.";
-  return ["# Metrics", "", NOTE, "", note, "", ...table(head, rows)];
+  return [
+    "# Metrics",
+    "",
+    GENERATED_NOTE,
+    "",
+    note,
+    "",
+    ...formatTable(head, rows),
+  ];
 }
 
 function configurationPage(): string[] {
@@ -74,29 +82,29 @@
   return [
     "# Configuration",
     "",
-    NOTE,
+    GENERATED_NOTE,
     "",
     "## Published configuration",
     "",
     "Checked by `apricotdeck check FILE`, published by `apricotdeck publish FILE`. JSON with comments; unknown fields are errors.",
     "",
-    ...table(head, settingRows(configurationSchema)),
+    ...formatTable(head, settingRows(configurationSchema)),
     "",
     "## Settings of a daemon",
     "",
     "The file given to `apricotdeckd`. JSON with comments; unknown fields are errors and the daemon does not start. Times end in `Ms` (milliseconds), sizes in `Bytes`.",
     "",
-    ...table(head, settingRows(settingsSchema)),
+    ...formatTable(head, settingRows(settingsSchema)),
     "",
     "## Settings on the users' platform",
     "",
     "The file that `APRICOTDECK_BOOT` names, made by the platform from `deploy/entry.jsonc` and `deploy/agent.jsonc`. Read again on SIGHUP: `graceSeconds` takes effect, the rest with the next start.",
     "",
-    ...table(head, settingRows(directSettingsSchema)),
+    ...formatTable(head, settingRows(directSettingsSchema)),
   ];
 }
 
-write("METRICS.md", metricPage());
-write("CONFIGURATION.md", configurationPage());
-write("ERRORS.md", errorPage());
-write("EVENTS.md", eventPage());
+writePage("METRICS.md", metricPage());
+writePage("CONFIGURATION.md", configurationPage());
+writePage("ERRORS.md", errorPage());
+writePage("EVENTS.md", eventPage());
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,7 +1,7 @@
 /**
- * Runs every test file through uvu's runner, one after the other, and closes
- * with the plain line that CI reads. An argument keeps the files whose path
- * contains it. Cases listed in KNOWN-RED.txt are printed and passed over.
+ * Runs all test files sequentially with uvu and ends with the summary line that
+ * CI parses. An optional argument selects the files whose path contains it.
+ * Failures listed in KNOWN-RED.txt are printed but don't fail the run.
  */
 import { readdirSync, readFileSync, existsSync } from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -9,8 +9,8 @@
 import { run } from "uvu/run";
 
 const EXIT_FAILED = 1;
-const TESTS = fileURLToPath(new URL("../tests/", import.meta.url));
-const KNOWN_RED = fileURLToPath(
+const TESTS_FOLDER = fileURLToPath(new URL("../tests/", import.meta.url));
+const KNOWN_FAILURES_FILE = fileURLToPath(
   new URL("../../KNOWN-RED.txt", import.meta.url),
 );
 
@@ -19,20 +19,20 @@
   readonly passed: number;
 }
 
-// uvu's runner prints its totals and nothing else tells them, so its output
-// is copied on its way to the terminal.
+// uvu reports its totals only as printed text, so the output is captured while
+// it is passed on to the terminal.
 const output: string[] = [];
-const write = process.stdout.write.bind(process.stdout);
+const writeToTerminal = process.stdout.write.bind(process.stdout);
 process.stdout.write = (chunk: string | Uint8Array): boolean => {
   output.push(chunk.toString());
-  return write(chunk);
+  return writeToTerminal(chunk);
 };
 
 function testFiles(filter: string): { name: string; file: string }[] {
-  return readdirSync(TESTS, { recursive: true, encoding: "utf8" })
+  return readdirSync(TESTS_FOLDER, { recursive: true, encoding: "utf8" })
     .filter((name) => name.endsWith(".test.js") && name.includes(filter))
     .sort()
-    .map((name) => ({ name, file: path.join(TESTS, name) }));
+    .map((name) => ({ name, file: path.join(TESTS_FOLDER, name) }));
 }
 
 function lastNumber(text: string, label: string): number {
@@ -47,16 +47,16 @@
   };
 }
 
-/** Names of failed cases, as uvu prints them: FAIL  suite  "case". */
+/** Parses failed cases from uvu's output, such as `FAIL  suite  "case"`. */
 function failedCases(text: string): string[] {
   const plain = text.replaceAll(/\u001b\[[0-9;]*m/g, "");
   const found = plain.matchAll(/FAIL\s+(.+?)\s+"([^"]+)"/g);
   return [...found].map((match) => `${match[1]} ${match[2]}`);
 }
 
-function knownRed(): string[] {
-  if (!existsSync(KNOWN_RED)) return [];
-  return readFileSync(KNOWN_RED, "utf8")
+function readKnownFailures(): string[] {
+  if (!existsSync(KNOWN_FAILURES_FILE)) return [];
+  return readFileSync(KNOWN_FAILURES_FILE, "utf8")
     .split("\n")
     .filter((line) => line !== "" && !line.startsWith("#"));
 }
@@ -64,16 +64,19 @@
 process.once("exit", () => {
   const text = output.join("");
   const { total, passed } = readTotals(text);
-  const known = knownRed();
+  const known = readKnownFailures();
   const isKnown = (name: string): boolean =>
     known.some((line) => line.startsWith(name));
   const failures = failedCases(text);
-  const excused = failures.filter(isKnown).length;
-  for (const name of failures.filter(isKnown)) write(`known red: ${name}\n`);
-  // Without totals the run ended early, by an error outside of any case.
+  const knownFailureCount = failures.filter(isKnown).length;
+  for (const name of failures.filter(isKnown))
+    writeToTerminal(`known red: ${name}\n`);
+  // If uvu printed no totals, an error outside of a test case ended the run.
   const isComplete = total > 0;
-  const failed = isComplete ? total - passed - excused : failures.length + 1;
-  write(`${isComplete ? passed : 0} passed, ${failed} failed\n`);
+  const failed = isComplete
+    ? total - passed - knownFailureCount
+    : failures.length + 1;
+  writeToTerminal(`${isComplete ? passed : 0} passed, ${failed} failed\n`);
   process.exitCode = failed === 0 ? 0 : EXIT_FAILED;
 });
 
--- a/scripts/setting-rows.ts
+++ b/scripts/setting-rows.ts
@@ -1,14 +1,14 @@
-/** One table row for each field of a settings schema. */
+/** Generates a table row for each field of a settings schema. */
 import { z } from "zod";
 
 type JsonSchema = z.core.JSONSchema.JSONSchema;
 
 const LARGEST_INTEGER = Number.MAX_SAFE_INTEGER;
 
-/** Field, type, default, limits and meaning. */
+/** Rows of field, type, default, limits and meaning, without duplicates. */
 export function settingRows(schema: z.ZodType): string[][] {
   const root = z.toJSONSchema(schema, { io: "input" }) as JsonSchema;
-  const rows = walk(root, "", true);
+  const rows = collectRows(root, "", true);
   const seen = new Set<string>();
   return rows.filter((row) => {
     const key = row.join("|");
@@ -18,7 +18,7 @@
   });
 }
 
-function walk(
+function collectRows(
   schema: JsonSchema,
   path: string,
   isRequired: boolean,
@@ -26,13 +26,13 @@
   const variants = schema.oneOf ?? schema.anyOf;
   if (variants !== undefined) {
     return variants.flatMap((item) =>
-      walk(item, withKind(path, item), isRequired),
+      collectRows(item, appendKind(path, item), isRequired),
     );
   }
   if (schema.type === "object") {
     const required = new Set(schema.required ?? []);
     return Object.entries(schema.properties ?? {}).flatMap(([name, item]) =>
-      walk(
+      collectRows(
         item as JsonSchema,
         path === "" ? name : `${path}.${name}`,
         required.has(name),
@@ -40,7 +40,7 @@
     );
   }
   if (schema.type === "array" && isObject(schema.items)) {
-    return walk(schema.items as JsonSchema, `${path}[]`, true);
+    return collectRows(schema.items as JsonSchema, `${path}[]`, true);
   }
   return [rowOf(schema, path, isRequired)];
 }
@@ -50,8 +50,8 @@
   return "properties" in items || "oneOf" in items;
 }
 
-/** Tells the variants of a union apart by their constant field. */
-function withKind(path: string, { properties = {} }: JsonSchema): string {
+/** Appends the constant field that discriminates a union variant. */
+function appendKind(path: string, { properties = {} }: JsonSchema): string {
   const constants = Object.values(properties).flatMap((item) =>
     typeof item === "object" && typeof item.const === "string"
       ? [item.const]
@@ -68,14 +68,14 @@
   isRequired: boolean,
 ): string[] {
   const type = typeOf(schema);
-  const fallback =
+  const defaultText =
     schema.default === undefined
       ? isRequired
         ? "required"
         : "none"
       : `\`${JSON.stringify(schema.default)}\``;
   const meaning = schema.description ?? "";
-  return [`\`${path}\``, type, fallback, limitsOf(schema), meaning];
+  return [`\`${path}\``, type, defaultText, limitsOf(schema), meaning];
 }
 
 function typeOf(schema: JsonSchema): string {
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -1,10 +1,10 @@
 /**
- * Stand-in for the engines of one group: ranks that run in lock-step on an
- * expert map. Time only passes through `advance`.
+ * Simulates the engines of one group, whose ranks run in lockstep on an expert
+ * map. The clock is passed in: steps only begin in `advance`.
  *
- * A rank begins a step when every rank of its incarnation has begun the step
- * before, so a rank that holds or stalls holds back all the rest, and for one
- * step some ranks may be ahead of others.
+ * A rank begins a step once every rank of its group incarnation has finished
+ * the previous one. A rank that holds or stalls therefore blocks all others,
+ * and ranks can be at most one step apart.
  */
 import {
   expertsOf,
@@ -21,18 +21,21 @@
 
 export interface EngineGroupSettings {
   readonly bytesPerExpert: number;
-  /** Shortest time of a step. */
+  /** Minimum duration of a step. */
   readonly stepMs: number;
-  /** Time that a token of an expert costs a rank of speed 1. */
+  /** Processing time per token on a rank of speed 1. */
   readonly tokenMs: number;
-  /** Tokens of each expert of each layer in a step. */
+  /** Token count of a step by layer and expert. */
   readonly demand: (step: number) => readonly (readonly number[])[];
   readonly speed: (rank: number) => number;
-  /** Delay of a step report, or undefined for one that is never published. */
+  /** Publication delay of a step report; undefined drops the report. */
   readonly reportDelayMs: () => number | undefined;
-  /** Off only in the fuzzer's mutation. */
+  /**
+   * Whether engines hold at the step of an uncommitted proposal. Only the
+   * fuzzer's mutation test turns this off.
+   */
   readonly holds: boolean;
-  /** Told of every step that a member begins: the oracle's record. */
+  /** Called for every step that a member begins; test oracles record these. */
   readonly onStep: (record: StepRecord) => void;
 }
 
@@ -45,21 +48,21 @@
 }
 
 interface DelayedReport {
-  readonly visibleAt: number;
+  readonly visibleAtMs: number;
   readonly report: StepReport;
 }
 
 interface Engine {
   readonly member: string;
   register: MapRegister;
-  starts: number;
-  stalledUntil: number;
-  /** When the step that was begun last ends for this engine's ranks. */
-  busyUntil: number;
+  startCount: number;
+  stalledUntilMs: number;
+  /** End of the current step on the slowest rank of this engine. */
+  busyUntilMs: number;
   reports: DelayedReport[];
 }
 
-const LARGEST_REPORTS = 4_096;
+const MAX_KEPT_REPORTS = 4_096;
 
 export const quietSettings: EngineGroupSettings = {
   bytesPerExpert: 1,
@@ -81,32 +84,32 @@
     return new EngineGroup(settings);
   }
 
-  /** An engine starts, or starts again and has forgotten everything. */
+  /** Starts an engine, or restarts it with empty state. */
   start(member: string): void {
-    const starts = (this.engines.get(member)?.starts ?? 0) + 1;
+    const startCount = (this.engines.get(member)?.startCount ?? 0) + 1;
     const register = MapRegister.create({
       member,
-      engine: `${member}#${starts}`,
+      engine: `${member}#${startCount}`,
       bytesPerExpert: this.settings.bytesPerExpert,
     });
     this.engines.set(member, {
       member,
       register,
-      starts,
-      stalledUntil: 0,
-      busyUntil: 0,
+      startCount,
+      stalledUntilMs: 0,
+      busyUntilMs: 0,
       reports: [],
     });
   }
 
-  /** The engine is gone for good. */
+  /** Removes an engine permanently. */
   remove(member: string): void {
     this.engines.delete(member);
   }
 
   stall(member: string, until: number): void {
     const engine = this.engines.get(member);
-    if (engine !== undefined) engine.stalledUntil = until;
+    if (engine !== undefined) engine.stalledUntilMs = until;
   }
 
   call(
@@ -126,74 +129,74 @@
     return this.engines.get(member)?.register.putWeight(weight, offset, length);
   }
 
-  /** Step reports that are published by now, from a step on. */
+  /** Step reports published by `now`, starting at step `from`. */
   reports(member: string, from: number, now: number): readonly StepReport[] {
     const reports = this.engines.get(member)?.reports ?? [];
     return reports
-      .filter(({ visibleAt, report }) => {
-        return visibleAt <= now && report.step >= from;
+      .filter(({ visibleAtMs, report }) => {
+        return visibleAtMs <= now && report.step >= from;
       })
       .map(({ report }) => report);
   }
 
-  /** Lets every engine begin its next step where it can. */
+  /** Begins the next step of every engine that is ready for it. */
   advance(now: number): void {
     for (const engine of this.engines.values()) {
-      if (this.mayBegin(engine, now)) this.begin(engine, now);
+      if (this.canBeginStep(engine, now)) this.beginStep(engine, now);
     }
   }
 
-  private mayBegin(engine: Engine, now: number): boolean {
-    const { register, stalledUntil, busyUntil } = engine;
-    if (register.group === null || now < stalledUntil || now < busyUntil) {
+  private canBeginStep(engine: Engine, now: number): boolean {
+    const { register, stalledUntilMs, busyUntilMs } = engine;
+    if (register.group === null || now < stalledUntilMs || now < busyUntilMs) {
       return false;
     }
-    if (!this.othersCameUp(register, now)) return false;
+    if (!this.peersReachedStep(register, now)) return false;
     return !(register.mustHold(now) && this.settings.holds);
   }
 
-  private othersCameUp(register: MapRegister, now: number): boolean {
+  private peersReachedStep(register: MapRegister, now: number): boolean {
     return register.members.every(({ member }) => {
-      const other = this.engines.get(member);
-      if (other === undefined) return false;
-      const { group, step } = other.register;
+      const peer = this.engines.get(member);
+      if (peer === undefined) return false;
+      const { group, step } = peer.register;
       if (!sameBallot(group, register.group)) return false;
-      const ended = step > register.step || now >= other.busyUntil;
+      const ended = step > register.step || now >= peer.busyUntilMs;
       return step >= register.step && ended;
     });
   }
 
-  private begin(engine: Engine, now: number): void {
+  private beginStep(engine: Engine, now: number): void {
     const { register, member } = engine;
-    register.reachStep();
-    const { group, inForce, step } = register;
-    if (group === null || inForce === undefined) return;
-    const { version, map } = inForce;
+    register.switchIfCommitted();
+    const { group, activeMap, step } = register;
+    if (group === null || activeMap === undefined) return;
+    const { version, map } = activeMap;
     const mapHash = hashMap(map);
     this.settings.onStep({ group, member, step, version, mapHash });
-    const durationMs = this.work(engine, map, now);
-    engine.busyUntil = now + durationMs;
+    const durationMs = this.runStep(engine, map, now);
+    engine.busyUntilMs = now + durationMs;
     register.stepMs = durationMs;
     register.step = step + 1;
   }
 
-  /** Longest time of the engine's ranks; publishes their reports. */
-  private work(engine: Engine, map: ExpertMap, now: number): number {
+  /** Publishes each rank's report and returns the longest rank time. */
+  private runStep(engine: Engine, map: ExpertMap, now: number): number {
     const { register } = engine;
     const { stepMs, tokenMs, speed, demand } = this.settings;
     const tokens = demand(register.step);
     const ranks = ranksOf(register.members, engine.member);
     const durations = ranks.map((rank) => {
-      const counts = rankCounts(map, rank, tokens);
+      const counts = countRankTokens(map, rank, tokens);
       const load = counts.flat().reduce((sum, value) => sum + value, 0);
       const durationMs = stepMs + (load * tokenMs) / speed(rank);
-      this.publish(engine, rank, counts, durationMs, now);
+      this.publishReport(engine, rank, counts, durationMs, now);
       return durationMs;
     });
     return Math.max(stepMs, ...durations);
   }
 
-  private publish(
+  private publishReport(
     engine: Engine,
     rank: number,
     counts: StepReport["counts"],
@@ -201,10 +204,11 @@
     now: number,
   ): void {
     const delay = this.settings.reportDelayMs();
-    const { group, inForce, step } = engine.register;
-    if (delay === undefined || group === null || inForce === undefined) return;
-    const { version } = inForce;
-    const mapHash = hashMap(inForce.map);
+    const { group, activeMap, step } = engine.register;
+    if (delay === undefined || group === null || activeMap === undefined)
+      return;
+    const { version } = activeMap;
+    const mapHash = hashMap(activeMap.map);
     const report: StepReport = {
       group,
       step,
@@ -214,13 +218,13 @@
       durationMs,
       counts,
     };
-    engine.reports.push({ visibleAt: now + durationMs + delay, report });
-    if (engine.reports.length > LARGEST_REPORTS) engine.reports.shift();
+    engine.reports.push({ visibleAtMs: now + durationMs + delay, report });
+    if (engine.reports.length > MAX_KEPT_REPORTS) engine.reports.shift();
   }
 }
 
-/** Tokens that a rank works on: replicas of an expert share its tokens. */
-function rankCounts(
+/** Tokens a rank processes; replicas of an expert share its tokens evenly. */
+function countRankTokens(
   map: ExpertMap,
   rank: number,
   tokens: readonly (readonly number[])[],
--- a/standins/engine-interface.ts
+++ b/standins/engine-interface.ts
@@ -1,16 +1,16 @@
 /**
- * The published interface of one engine of a group over HTTP: maps, weights,
- * steps and orders. Given to the engine stand-in as its extension.
+ * HTTP endpoints of one engine of a group: expert maps, weights, step reports
+ * and orders. Passed to the simulated engine as its extension.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { EngineCall, Order, OrderKind } from "../src/internal.js";
 import type { EngineGroup } from "./engine-group.js";
-import { answerJson, readBody, type StandInCall } from "./http.js";
+import { sendJson, readBody, type StandInCall } from "./http.js";
 
 export interface EngineInterfaceFaults {
-  /** So many answers are lost after the order took effect. */
+  /** Number of upcoming responses to drop after the call was applied. */
   lostAnswers: number;
-  /** Orders to load take effect this much later. */
+  /** Delay before an order is applied. */
   orderDelayMs: number;
 }
 
@@ -21,7 +21,7 @@
 
 export interface EngineInterface {
   readonly faults: EngineInterfaceFaults;
-  /** Every order that took effect, in its order. */
+  /** Every applied order, in the order of application. */
   readonly effects: readonly OrderRecord[];
   readonly answer: (call: StandInCall) => Promise<boolean>;
 }
@@ -32,7 +32,7 @@
   readonly checksFencing: boolean;
 }
 
-const GONE = 503;
+const SERVICE_UNAVAILABLE = 503;
 
 export function createEngineInterface(
   options: EngineInterfaceOptions,
@@ -41,7 +41,7 @@
   const faults: EngineInterfaceFaults = { lostAnswers: 0, orderDelayMs: 0 };
   const effects: OrderRecord[] = [];
   const values: Partial<Record<OrderKind, string>> = {};
-  let fencing = -1;
+  let highestFencing = -1;
 
   const send = (
     { response }: StandInCall,
@@ -51,47 +51,58 @@
     if (faults.lostAnswers > 0) {
       faults.lostAnswers -= 1;
       response.destroy();
-    } else answerJson(response, body, accepted ? 200 : 409);
+    } else sendJson(response, body, accepted ? 200 : 409);
   };
 
   const answerMap = async (call: StandInCall): Promise<void> => {
     const { method, request, response } = call;
     const text = method === "POST" ? await readBody(request) : undefined;
-    const order = text === undefined ? readCall(call) : parseCall(call, text);
-    const result = group.call(member, order, Date.now());
-    if (result === undefined) answerJson(response, { error: "gone" }, GONE);
+    const engineCall =
+      text === undefined ? parseReadCall(call) : parseMapCall(call, text);
+    const result = group.call(member, engineCall, Date.now());
+    if (result === undefined)
+      sendJson(response, { error: "gone" }, SERVICE_UNAVAILABLE);
     else send(call, result.answer, result.accepted);
   };
 
   const answerWeights = async (call: StandInCall): Promise<void> => {
-    const query = (name: string): number =>
+    const queryNumber = (name: string): number =>
       Number(call.url.searchParams.get(name));
     const { length } = await readBody(call.request);
     const weight = {
-      rank: query("rank"),
-      layer: query("layer"),
-      expert: query("expert"),
+      rank: queryNumber("rank"),
+      layer: queryNumber("layer"),
+      expert: queryNumber("expert"),
     };
-    const held = group.putWeight(member, weight, query("offset"), length);
-    send(call, { heldBytes: held ?? 0 }, true);
+    const heldBytes = group.putWeight(
+      member,
+      weight,
+      queryNumber("offset"),
+      length,
+    );
+    send(call, { heldBytes: heldBytes ?? 0 }, true);
   };
 
   const answerOrder = async (call: StandInCall): Promise<void> => {
-    const state = (): unknown => ({ engine: member, values, fencing });
+    const engineState = (): unknown => ({
+      engine: member,
+      values,
+      fencing: highestFencing,
+    });
     if (call.method === "GET") {
-      send(call, state(), true);
+      send(call, engineState(), true);
       return;
     }
     const order = JSON.parse(String(await readBody(call.request))) as Order;
     await sleep(faults.orderDelayMs);
-    if (checksFencing && order.fencing < fencing) {
-      send(call, state(), false);
+    if (checksFencing && order.fencing < highestFencing) {
+      send(call, engineState(), false);
       return;
     }
-    fencing = Math.max(fencing, order.fencing);
+    highestFencing = Math.max(highestFencing, order.fencing);
     values[order.kind] = order.value;
     effects.push({ atMs: Date.now(), order });
-    send(call, state(), true);
+    send(call, engineState(), true);
   };
 
   const answer = async (call: StandInCall): Promise<boolean> => {
@@ -110,11 +121,11 @@
   return { faults, effects, answer };
 }
 
-function readCall({ url }: StandInCall): EngineCall {
+function parseReadCall({ url }: StandInCall): EngineCall {
   return { kind: "read", withMap: url.searchParams.get("map") === "true" };
 }
 
-function parseCall({ url }: StandInCall, text: Buffer): EngineCall {
+function parseMapCall({ url }: StandInCall, text: Buffer): EngineCall {
   const kind = url.pathname.split("/").at(-1);
   const body = JSON.parse(text.toString()) as Record<string, unknown>;
   if (kind !== "arm") return { ...body, kind } as unknown as EngineCall;
@@ -123,7 +134,7 @@
   return { kind, proposal, map } as unknown as EngineCall;
 }
 
-/** Lets the group's engines step in real time until it is stopped. */
+/** Advances the group's engines in real time; returns a stop function. */
 export function driveGroup(group: EngineGroup): () => void {
   const timer = setInterval(() => {
     group.advance(Date.now());
--- a/standins/engine-runs.ts
+++ b/standins/engine-runs.ts
@@ -1,10 +1,11 @@
 /**
- * Runs of the stand-in engine: continuous batching by priority, a prefix
- * cache in limited memory, and the pieces of every answer, kept for resume.
+ * Runs of the simulated engine: continuous batching by priority, a bounded
+ * prefix cache with LRU eviction, and the buffered output of every run, from
+ * which interrupted streams resume.
  */
 import { createHash } from "node:crypto";
 
-/** Characters of one cached block of a prompt. */
+/** Size of a prefix cache block. */
 const BLOCK_CHARACTERS = 256;
 const CHARACTERS_PER_TOKEN = 4;
 
@@ -14,20 +15,19 @@
   readonly tokens: number;
   readonly priority: number;
   readonly streamed: boolean;
-  readonly chat: boolean;
+  readonly isChat: boolean;
   readonly model: string;
 }
 
 export interface Run extends RunOptions {
-  /** Distinguishes answers: every token of an answer names its prompt. */
+  /** Prompt hash; processed of every output token, so tests can match the two. */
   readonly digest: string;
   readonly startedAtMs: number;
   readonly pieces: string[];
   readonly listeners: Set<() => void>;
-  /** Prompt tokens still to be computed. */
-  prefill: number;
-  ended: boolean;
-  cancelled: boolean;
+  remainingPrefillTokens: number;
+  hasEnded: boolean;
+  isCancelled: boolean;
 }
 
 export interface CacheEvent {
@@ -38,17 +38,17 @@
 }
 
 export interface EngineLimits {
-  /** Runs advanced in one step. */
-  readonly batch: number;
-  /** Prompt tokens computed in one step, over all runs. */
-  readonly prefillPerStep: number;
-  /** Blocks of the prefix cache. */
-  readonly blocks: number;
+  /** Maximum number of runs that advance in one step. */
+  readonly batchSize: number;
+  /** Prompt tokens processed per step, over all runs. */
+  readonly prefillTokensPerStep: number;
+  /** Capacity of the prefix cache. */
+  readonly cacheBlocks: number;
 }
 
 export class EngineRuns {
   readonly runs = new Map<string, Run>();
-  /** Ids in the order in which they were started: the oracle's record. */
+  /** Run ids in start order; test oracles read these. */
   readonly started: string[] = [];
   readonly cacheEvents: CacheEvent[] = [];
   private active: Run[] = [];
@@ -69,9 +69,9 @@
       startedAtMs: Date.now(),
       pieces: [],
       listeners: new Set(),
-      prefill: this.uncachedTokens(options.prompt),
-      ended: false,
-      cancelled: false,
+      remainingPrefillTokens: this.countUncachedTokens(options.prompt),
+      hasEnded: false,
+      isCancelled: false,
     };
     this.runs.set(run.id, run);
     this.started.push(run.id);
@@ -82,23 +82,24 @@
 
   cancel(id: string): boolean {
     const run = this.runs.get(id);
-    if (run === undefined || run.ended) return false;
-    run.cancelled = true;
+    if (run === undefined || run.hasEnded) return false;
+    run.isCancelled = true;
     this.end(run);
     return true;
   }
 
-  /** One lock-step of the model. */
+  /** Executes one model step: prefill, or one output token per run. */
   step(): void {
     this.fillBatch();
-    let prefill = this.limits.prefillPerStep;
+    let prefillBudget = this.limits.prefillTokensPerStep;
     for (const run of this.active) {
-      const part = Math.min(prefill, run.prefill);
-      run.prefill -= part;
-      prefill -= part;
-      if (run.prefill === 0 && part === 0) this.addToken(run);
+      const processed = Math.min(prefillBudget, run.remainingPrefillTokens);
+      run.remainingPrefillTokens -= processed;
+      prefillBudget -= processed;
+      if (run.remainingPrefillTokens === 0 && processed === 0)
+        this.addToken(run);
     }
-    this.active = this.active.filter(({ ended }) => !ended);
+    this.active = this.active.filter(({ hasEnded }) => !hasEnded);
   }
 
   load(): Readonly<Record<string, number>> {
@@ -107,51 +108,51 @@
       running: this.active.length,
       waiting: this.waiting.length,
       waitingTokens: tokens,
-      freeBlocks: this.limits.blocks - this.cache.size,
-      totalBlocks: this.limits.blocks,
+      freeBlocks: this.limits.cacheBlocks - this.cache.size,
+      totalBlocks: this.limits.cacheBlocks,
     };
   }
 
-  get idle(): boolean {
+  get isIdle(): boolean {
     return this.active.length + this.waiting.length === 0;
   }
 
   private fillBatch(): void {
-    const room = this.limits.batch - this.active.length;
-    if (room <= 0 || this.waiting.length === 0) return;
-    this.active.push(...this.waiting.splice(0, room));
+    const freeSlots = this.limits.batchSize - this.active.length;
+    if (freeSlots <= 0 || this.waiting.length === 0) return;
+    this.active.push(...this.waiting.splice(0, freeSlots));
   }
 
   private addToken(run: Run): void {
     const index = run.pieces.length;
     const isLast = index + 1 >= run.tokens;
-    run.pieces.push(pieceOf(run, index, isLast));
+    run.pieces.push(formatPiece(run, index, isLast));
     if (isLast) this.end(run);
     else notify(run);
   }
 
   private end(run: Run): void {
-    run.ended = true;
+    run.hasEnded = true;
     this.active = this.active.filter((other) => other !== run);
     this.waiting = this.waiting.filter((other) => other !== run);
     notify(run);
   }
 
-  private uncachedTokens(prompt: string): number {
+  private countUncachedTokens(prompt: string): number {
     const blocks = prefixBlocks(prompt);
     const missing = blocks.filter((block) => !this.cache.has(block));
-    for (const block of blocks) this.touch(block);
-    if (missing.length > 0) this.record("stored", missing);
+    for (const block of blocks) this.markRecentlyUsed(block);
+    if (missing.length > 0) this.recordCacheEvent("stored", missing);
     this.evict();
     const tokens = Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
-    const cached = blocks.length - missing.length;
+    const cachedBlocks = blocks.length - missing.length;
     return Math.max(
       0,
-      tokens - (cached * BLOCK_CHARACTERS) / CHARACTERS_PER_TOKEN,
+      tokens - (cachedBlocks * BLOCK_CHARACTERS) / CHARACTERS_PER_TOKEN,
     );
   }
 
-  private touch(block: string): void {
+  private markRecentlyUsed(block: string): void {
     this.cache.delete(block);
     this.cache.add(block);
   }
@@ -159,21 +160,24 @@
   private evict(): void {
     const removed: string[] = [];
     for (const block of this.cache) {
-      if (this.cache.size <= this.limits.blocks) break;
+      if (this.cache.size <= this.limits.cacheBlocks) break;
       this.cache.delete(block);
       removed.push(block);
     }
-    if (removed.length > 0) this.record("removed", removed);
+    if (removed.length > 0) this.recordCacheEvent("removed", removed);
   }
 
-  private record(kind: CacheEvent["kind"], blocks: readonly string[]): void {
+  private recordCacheEvent(
+    kind: CacheEvent["kind"],
+    blocks: readonly string[],
+  ): void {
     const sequence = this.cacheEvents.length;
     const atMs = Date.now();
     this.cacheEvents.push({ sequence, atMs, kind, blocks });
   }
 }
 
-/** Hash of each whole prefix block; a block names all before it too. */
+/** Hash of each full prompt block, computed over the whole prefix up to it. */
 export function prefixBlocks(prompt: string): string[] {
   const count = Math.floor(prompt.length / BLOCK_CHARACTERS);
   return Array.from({ length: count }, (_, index) => {
@@ -182,13 +186,13 @@
   });
 }
 
-/** Text of one token; a test can tell whose answer it belongs to. */
+/** Text of one output token; identifies the run it belongs to. */
 export function tokenText(digest: string, index: number): string {
   return `${digest}.${index} `;
 }
 
-/** The whole answer body of a run that wasn't streamed. */
-export function wholeBody(run: Run): string {
+/** Response body of a run that wasn't streamed. */
+export function completionBody(run: Run): string {
   const text = run.pieces
     .map((_, index) => tokenText(run.digest, index))
     .join("");
@@ -198,12 +202,12 @@
     total_tokens:
       Math.ceil(run.prompt.length / CHARACTERS_PER_TOKEN) + run.tokens,
   };
-  const choice = run.chat
+  const choice = run.isChat
     ? { message: { role: "assistant", content: text } }
     : { text };
   return JSON.stringify({
     id: run.id,
-    object: run.chat ? "chat.completion" : "text_completion",
+    object: run.isChat ? "chat.completion" : "text_completion",
     created: 0,
     model: run.model,
     choices: [{ index: 0, ...choice, finish_reason: "stop" }],
@@ -211,12 +215,12 @@
   });
 }
 
-function pieceOf(run: Run, index: number, isLast: boolean): string {
+function formatPiece(run: Run, index: number, isLast: boolean): string {
   const text = tokenText(run.digest, index);
-  const choice = run.chat ? { delta: { content: text } } : { text };
+  const choice = run.isChat ? { delta: { content: text } } : { text };
   return JSON.stringify({
     id: run.id,
-    object: run.chat ? "chat.completion.chunk" : "text_completion",
+    object: run.isChat ? "chat.completion.chunk" : "text_completion",
     created: 0,
     model: run.model,
     choices: [{ index: 0, ...choice, finish_reason: isLast ? "stop" : null }],
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -1,19 +1,19 @@
 /**
- * Stand-in of a model engine (docs/PLATFORM.md): the usual completions
- * interface, streamed and whole, resume and cancel by request id, load reports
- * with a lag and cache events with a lag and gaps.
+ * Simulates a model engine as docs/PLATFORM.md describes it: the completions
+ * API with and without streaming, resume and cancel by request id, delayed load
+ * reports, and cache events that are delayed or missing.
  */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import {
   EngineRuns,
-  wholeBody,
+  completionBody,
   type EngineLimits,
   type Run,
   type RunOptions,
 } from "./engine-runs.js";
 import {
-  answerJson,
+  sendJson,
   readBody,
   startServer,
   type StandInCall,
@@ -21,28 +21,28 @@
 } from "./http.js";
 
 export interface EngineFaults {
-  /** Load reports show the state of so long ago. */
+  /** Age of the state that load reports show. */
   loadLagMs: number;
-  /** Cache events appear so much later. */
+  /** Delay before a cache event is visible. */
   cacheLagMs: number;
-  /** Every n-th cache event is never shown; 0 shows all. */
-  cacheGapEvery: number;
-  /** Added to every step, as by a slow machine. */
+  /** Hides every n-th cache event; 0 hides none. */
+  dropCacheEventEvery: number;
+  /** Added to the duration of every step, to simulate a slow machine. */
   slowStepMs: number;
-  /** New runs are refused with 503. */
+  /** Answers new runs with 503. */
   refuseRuns: boolean;
-  /** Connections of so many streams are cut after some pieces. */
+  /** Number of upcoming streams to cut after `PIECES_BEFORE_CUT` pieces. */
   cutStreams: number;
 }
 
 export interface EngineOptions {
   readonly port?: number;
-  /** Time of one step; 0 steps as fast as the process can. */
+  /** Duration of a step; 0 runs steps back to back. */
   readonly stepMs: number;
   readonly limits?: Partial<EngineLimits>;
-  /** False when a group drives the steps of its engines in lock-step. */
+  /** False if an engine group runs the steps of its engines in lockstep. */
   readonly ownSteps?: boolean;
-  /** Answers paths that the engine itself doesn't know; false when unknown. */
+  /** Handles other paths; resolves with false if it doesn't know the path. */
   readonly extension?: (call: StandInCall) => Promise<boolean>;
 }
 
@@ -55,7 +55,7 @@
 interface Engine {
   readonly runs: EngineRuns;
   readonly faults: EngineFaults;
-  readonly loads: { readonly atMs: number; readonly load: object }[];
+  readonly loadSamples: { readonly atMs: number; readonly load: object }[];
 }
 
 interface CompletionBody {
@@ -68,12 +68,12 @@
 }
 
 const DEFAULT_TOKENS = 16;
-const KEPT_LOADS = 512;
+const MAX_LOAD_SAMPLES = 512;
 const PIECES_BEFORE_CUT = 3;
 const DEFAULT_LIMITS: EngineLimits = {
-  batch: 256,
-  prefillPerStep: 8192,
-  blocks: 4096,
+  batchSize: 256,
+  prefillTokensPerStep: 8192,
+  cacheBlocks: 4096,
 };
 
 export async function startEngine(
@@ -83,25 +83,26 @@
   const faults: EngineFaults = {
     loadLagMs: 0,
     cacheLagMs: 0,
-    cacheGapEvery: 0,
+    dropCacheEventEvery: 0,
     slowStepMs: 0,
     refuseRuns: false,
     cutStreams: 0,
   };
-  const engine: Engine = { runs, faults, loads: [] };
+  const engine: Engine = { runs, faults, loadSamples: [] };
   const step = (): void => {
     runs.step();
-    engine.loads.push({ atMs: Date.now(), load: runs.load() });
-    if (engine.loads.length > KEPT_LOADS) engine.loads.shift();
+    engine.loadSamples.push({ atMs: Date.now(), load: runs.load() });
+    if (engine.loadSamples.length > MAX_LOAD_SAMPLES)
+      engine.loadSamples.shift();
   };
   const stopSteps =
     options.ownSteps === false
       ? () => undefined
-      : driveSteps(step, () => options.stepMs + faults.slowStepMs);
+      : startStepTimer(step, () => options.stepMs + faults.slowStepMs);
   const server = await startServer(async (call) => {
-    if (await answer(engine, call)) return;
+    if (await handleCall(engine, call)) return;
     if ((await options.extension?.(call)) === true) return;
-    answerJson(call.response, { error: "unknown path" }, 404);
+    sendJson(call.response, { error: "unknown path" }, 404);
   }, options.port);
   return {
     ...server,
@@ -115,8 +116,8 @@
   };
 }
 
-/** Steps at fixed times, catching up where a timer came late. */
-function driveSteps(step: () => void, stepMs: () => number): () => void {
+/** Runs steps at a fixed rate; catches up after a late timer. */
+function startStepTimer(step: () => void, stepMs: () => number): () => void {
   let next = performance.now() + stepMs();
   let stopped = false;
   const tick = (): void => {
@@ -135,34 +136,34 @@
   };
 }
 
-async function answer(engine: Engine, call: StandInCall): Promise<boolean> {
+async function handleCall(engine: Engine, call: StandInCall): Promise<boolean> {
   const { method, url, response } = call;
   const [, section = "", id = ""] = url.pathname.split("/");
-  if (section === "v1" && method === "POST") await start(engine, call);
+  if (section === "v1" && method === "POST") await startRun(engine, call);
   else if (section === "requests" && method === "GET") {
-    await resume(engine, id, call);
+    await resumeRun(engine, id, call);
   } else if (section === "requests" && method === "DELETE") {
-    answerJson(response, { cancelled: engine.runs.cancel(id) });
-  } else if (section === "load") answerJson(response, lateLoad(engine));
+    sendJson(response, { cancelled: engine.runs.cancel(id) });
+  } else if (section === "load") sendJson(response, delayedLoad(engine));
   else if (section === "cache-events") {
-    answerJson(response, { events: lateCacheEvents(engine, url) });
+    sendJson(response, { events: delayedCacheEvents(engine, url) });
   } else return false;
   return true;
 }
 
-async function start(engine: Engine, call: StandInCall): Promise<void> {
+async function startRun(engine: Engine, call: StandInCall): Promise<void> {
   const { request, response, url } = call;
   const body = JSON.parse(
     (await readBody(request)).toString(),
   ) as CompletionBody;
   if (engine.faults.refuseRuns) {
-    answerJson(response, { error: "busy" }, 503);
+    sendJson(response, { error: "busy" }, 503);
     return;
   }
-  const id = headerOf(call, "x-request-id");
-  const known = engine.runs.runs.get(id);
-  const run = known ?? engine.runs.start(runOptions(id, url, body, call));
-  await send(engine, run, 0, response);
+  const id = readHeader(call, "x-request-id");
+  const existing = engine.runs.runs.get(id);
+  const run = existing ?? engine.runs.start(runOptions(id, url, body, call));
+  await sendRun(engine, run, 0, response);
 }
 
 function runOptions(
@@ -171,40 +172,45 @@
   body: CompletionBody,
   call: StandInCall,
 ): RunOptions {
-  const chat = url.pathname.endsWith("/chat/completions");
+  const isChat = url.pathname.endsWith("/chat/completions");
   const messages = body.messages?.map(({ content }) => content) ?? [];
   return {
     id,
-    chat,
-    prompt: chat ? messages.join("\n") : (body.prompt ?? ""),
+    isChat,
+    prompt: isChat ? messages.join("\n") : (body.prompt ?? ""),
     tokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_TOKENS,
-    priority: Number(headerOf(call, "x-priority") || 0),
+    priority: Number(readHeader(call, "x-priority") || 0),
     streamed: body.stream === true,
     model: body.model,
   };
 }
 
-async function resume(
+async function resumeRun(
   engine: Engine,
   id: string,
   { url, response }: StandInCall,
 ): Promise<void> {
   const run = engine.runs.runs.get(id);
   if (run === undefined) {
-    answerJson(response, { error: "unknown request" }, 404);
+    sendJson(response, { error: "unknown request" }, 404);
     return;
   }
-  await send(engine, run, Number(url.searchParams.get("from") ?? 0), response);
+  await sendRun(
+    engine,
+    run,
+    Number(url.searchParams.get("from") ?? 0),
+    response,
+  );
 }
 
-async function send(
+async function sendRun(
   engine: Engine,
   run: Run,
   from: number,
   response: ServerResponse,
 ): Promise<void> {
   if (run.streamed) await sendStream(engine, run, from, response);
-  else await sendWhole(run, response);
+  else await sendCompletion(run, response);
 }
 
 async function sendStream(
@@ -222,27 +228,34 @@
     const events = run.pieces.slice(index).map((piece) => `data: ${piece}\n\n`);
     index += events.length;
     if (events.length > 0) response.write(events.join(""));
-    if (run.cancelled || (isCut && index >= PIECES_BEFORE_CUT)) {
+    if (run.isCancelled || (isCut && index >= PIECES_BEFORE_CUT)) {
       response.destroy();
       return;
     }
-    if (run.ended) break;
-    await nextChange(run, response);
+    if (run.hasEnded) break;
+    await waitForChange(run, response);
   }
   response.end("data: [DONE]\n\n");
 }
 
-async function sendWhole(run: Run, response: ServerResponse): Promise<void> {
-  while (!run.ended && !response.destroyed) await nextChange(run, response);
-  if (run.cancelled) {
+async function sendCompletion(
+  run: Run,
+  response: ServerResponse,
+): Promise<void> {
+  while (!run.hasEnded && !response.destroyed)
+    await waitForChange(run, response);
+  if (run.isCancelled) {
     response.destroy();
     return;
   }
   response.writeHead(200, { "content-type": "application/json" });
-  response.end(wholeBody(run));
+  response.end(completionBody(run));
 }
 
-async function nextChange(run: Run, response: ServerResponse): Promise<void> {
+async function waitForChange(
+  run: Run,
+  response: ServerResponse,
+): Promise<void> {
   const abort = new AbortController();
   const changed = new Promise<void>((resolve) => {
     const listener = (): void => {
@@ -258,27 +271,29 @@
   abort.abort();
 }
 
-function lateLoad({ loads, faults, runs }: Engine): object {
+function delayedLoad({ loadSamples, faults, runs }: Engine): object {
   const now = Date.now();
-  const seen = loads.findLast(({ atMs }) => atMs <= now - faults.loadLagMs);
-  const { atMs, load } = seen ?? { atMs: now, load: runs.load() };
+  const sample = loadSamples.findLast(
+    ({ atMs }) => atMs <= now - faults.loadLagMs,
+  );
+  const { atMs, load } = sample ?? { atMs: now, load: runs.load() };
   return { ...load, ageMs: now - atMs };
 }
 
-function lateCacheEvents({ runs, faults }: Engine, url: URL): object {
+function delayedCacheEvents({ runs, faults }: Engine, url: URL): object {
   const from = Number(url.searchParams.get("from") ?? 0);
-  const { cacheGapEvery, cacheLagMs } = faults;
-  const shownUntilMs = Date.now() - cacheLagMs;
+  const { dropCacheEventEvery, cacheLagMs } = faults;
+  const visibleUntilMs = Date.now() - cacheLagMs;
   return runs.cacheEvents
     .slice(from)
-    .filter(({ atMs }) => atMs <= shownUntilMs)
+    .filter(({ atMs }) => atMs <= visibleUntilMs)
     .filter(
       ({ sequence }) =>
-        cacheGapEvery === 0 || (sequence + 1) % cacheGapEvery !== 0,
+        dropCacheEventEvery === 0 || (sequence + 1) % dropCacheEventEvery !== 0,
     );
 }
 
-function headerOf({ request }: StandInCall, name: string): string {
+function readHeader({ request }: StandInCall, name: string): string {
   const value = request.headers[name];
   return typeof value === "string" ? value : "";
 }
--- a/standins/http.ts
+++ b/standins/http.ts
@@ -1,4 +1,4 @@
-/** Small HTTP server of the stand-ins, on a port that the system hands out. */
+/** Minimal HTTP server for the simulated services; port 0 picks a free port. */
 import {
   createServer,
   type IncomingMessage,
@@ -38,9 +38,9 @@
   await new Promise<void>((resolve) => {
     server.listen(port, "127.0.0.1", resolve);
   });
-  const { port: given } = server.address() as AddressInfo;
+  const { port: assignedPort } = server.address() as AddressInfo;
   return {
-    address: `http://127.0.0.1:${given}`,
+    address: `http://127.0.0.1:${assignedPort}`,
     async [Symbol.asyncDispose]() {
       await new Promise((resolve) => {
         server.close(resolve);
@@ -56,7 +56,7 @@
   return Buffer.concat(parts);
 }
 
-export function answerJson(
+export function sendJson(
   response: ServerResponse,
   body: unknown,
   status = 200,
--- a/standins/keyed-store.ts
+++ b/standins/keyed-store.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the users' store as far as the direct path reads it: keyed
- * topics with their newest records and history, outages, a forgotten history,
- * connections that fall silent, and a return from a copy of some time before.
+ * Simulates the part of the platform's store that the direct path uses: keyed
+ * topics with their newest records and history. Simulated faults are outages,
+ * unresponsive connections, a trimmed history and a restore from a snapshot.
  */
 import {
   createServer,
@@ -14,80 +14,80 @@
 interface StoredRecord {
   readonly key: string;
   readonly value: Buffer | undefined;
-  /** Takes the place of key and value in the history; not a newest record. */
-  readonly bytes?: Buffer;
+  /** Replaces key and value in the history; excluded from newest records. */
+  readonly rawBytes?: Buffer;
 }
 
-/** How the store treats calls for the time being. */
-export type StoreMood = "well" | "refusing" | "silent";
+/** How the store currently responds: normally, with 503, or not at all. */
+export type StoreAvailability = "well" | "refusing" | "silent";
 
-const GONE = 410;
-const UNAVAILABLE = 503;
-const LONGEST_WAIT_MS = 30_000;
-const LENGTH_BYTES = 4;
+const STATUS_GONE = 410;
+const STATUS_UNAVAILABLE = 503;
+const MAX_WAIT_MS = 30_000;
+const LENGTH_PREFIX_BYTES = 4;
 
 class Topic {
   readonly records: StoredRecord[] = [];
   firstOffset = 0;
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   private constructor() {
-    // Made by create.
+    // Instances are created by `create`.
   }
 
   static create(): Topic {
     return new Topic();
   }
 
-  /** Offsets from here on are given out again. */
-  goBackTo(offset: number): void {
+  /** Discards the records from `offset` on; their offsets are reused. */
+  truncateTo(offset: number): void {
     this.records.length = Math.min(this.records.length, offset);
     this.firstOffset = Math.min(this.firstOffset, offset);
   }
 
   append(record: StoredRecord): void {
     this.records.push(record);
-    for (const wake of this.waiting) wake();
+    for (const wake of this.waiters) wake();
   }
 
   get nextOffset(): number {
     return this.records.length;
   }
 
-  async waitBeyond(offset: number, waitMs: number): Promise<void> {
+  async waitForOffsetAfter(offset: number, waitMs: number): Promise<void> {
     if (this.nextOffset > offset || waitMs <= 0) return;
     await new Promise<void>((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
-        this.waiting.delete(done);
+        this.waiters.delete(done);
         resolve();
       };
       const timer = setTimeout(done, waitMs);
-      this.waiting.add(done);
+      this.waiters.add(done);
     });
   }
 }
 
-/** What the store held at a moment: the next offset of each topic, by name. */
-export type StoreCopy = ReadonlyMap<string, number>;
+/** Snapshot of the store: the next offset of each topic by topic name. */
+export type StoreSnapshot = ReadonlyMap<string, number>;
 
 export class KeyedStore implements AsyncDisposable {
-  mood: StoreMood = "well";
-  /** Rises by one with each return from a copy. */
+  mood: StoreAvailability = "well";
+  /** Incremented by each restore from a snapshot. */
   era = 1;
-  /** Calls by path, refused ones included. */
+  /** Call count by path, including refused calls. */
   readonly calls = new Map<string, number>();
   private readonly topics = new Map<string, Topic>();
   private listening: Listening | undefined;
 
   private constructor() {
-    // Made by create.
+    // Instances are created by `create`.
   }
 
   static async create(): Promise<KeyedStore> {
     const store = new KeyedStore();
     const server = createServer((request, response) => {
-      void store.answer(request, response);
+      void store.handleRequest(request, response);
     });
     store.listening = await listen(server, { host: "127.0.0.1", port: 0 });
     return store;
@@ -103,41 +103,45 @@
   }
 
   putBytes(topic: string, key: string, value: Buffer): void {
-    this.topicOf(topic).append({ key, value });
+    this.getOrCreateTopic(topic).append({ key, value });
   }
 
-  /** A record as its writer framed it, without a key that could be read. */
+  /** Appends raw bytes without the key framing of a regular record. */
   putUnframed(topic: string, bytes: Buffer): void {
-    this.topicOf(topic).append({ key: "", value: undefined, bytes });
+    this.getOrCreateTopic(topic).append({
+      key: "",
+      value: undefined,
+      rawBytes: bytes,
+    });
   }
 
   drop(topic: string, key: string): void {
-    this.topicOf(topic).append({ key, value: undefined });
+    this.getOrCreateTopic(topic).append({ key, value: undefined });
   }
 
-  /** The newest record of each key stays. */
+  /** Trims the topic's history; the newest record of each key remains. */
   forgetHistory(topic: string): void {
-    const known = this.topicOf(topic);
-    known.firstOffset = known.nextOffset;
+    const trimmed = this.getOrCreateTopic(topic);
+    trimmed.firstOffset = trimmed.nextOffset;
   }
 
-  copy(): StoreCopy {
+  copy(): StoreSnapshot {
     const topics = [...this.topics];
     return new Map(topics.map(([name, { nextOffset }]) => [name, nextOffset]));
   }
 
-  /** What was written since the copy is lost. */
-  returnFrom(copy: StoreCopy): void {
+  /** Restores a snapshot; everything written after it is lost. */
+  returnFrom(copy: StoreSnapshot): void {
     this.era += 1;
     for (const [name, topic] of this.topics)
-      topic.goBackTo(copy.get(name) ?? 0);
+      topic.truncateTo(copy.get(name) ?? 0);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.listening?.[Symbol.asyncDispose]();
   }
 
-  private async answer(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -146,13 +150,13 @@
     if (this.mood === "silent") return;
     response.setHeader(headerNames.storeEra, this.era);
     if (this.mood === "refusing") {
-      response.writeHead(UNAVAILABLE).end();
+      response.writeHead(STATUS_UNAVAILABLE).end();
       return;
     }
-    const topic = this.topicOf(url.searchParams.get("topic") ?? "");
+    const topic = this.getOrCreateTopic(url.searchParams.get("topic") ?? "");
     if (url.pathname === paths.newest) sendNewest(topic, response);
     else if (url.pathname === paths.append) {
-      await takeAppended(topic, request);
+      await appendFromRequest(topic, request);
       sendJson(response, 200, { end_offset: topic.nextOffset });
     } else if (url.pathname === paths.read) {
       await this.sendChanges(topic, url.searchParams, response);
@@ -165,23 +169,23 @@
     response: ServerResponse,
   ): Promise<void> {
     const from = Number(query.get("start_key"));
-    const waitMs = Math.min(Number(query.get("wait_ms")), LONGEST_WAIT_MS);
-    await topic.waitBeyond(from, waitMs);
+    const waitMs = Math.min(Number(query.get("wait_ms")), MAX_WAIT_MS);
+    await topic.waitForOffsetAfter(from, waitMs);
     response.setHeader(headerNames.storeEra, this.era);
     if (from < topic.firstOffset || from > topic.nextOffset) {
-      sendJson(response, GONE, { start_offset: topic.firstOffset });
+      sendJson(response, STATUS_GONE, { start_offset: topic.firstOffset });
       return;
     }
-    const head = Buffer.alloc(16);
-    head.writeBigUInt64BE(BigInt(topic.nextOffset), 0);
-    head.writeBigUInt64BE(BigInt(topic.firstOffset), 8);
+    const header = Buffer.alloc(16);
+    header.writeBigUInt64BE(BigInt(topic.nextOffset), 0);
+    header.writeBigUInt64BE(BigInt(topic.firstOffset), 8);
     const records = topic.records.slice(from).map(encodeRecord);
-    response.writeHead(200).end(Buffer.concat([head, ...records]));
+    response.writeHead(200).end(Buffer.concat([header, ...records]));
   }
 
-  private topicOf(name: string): Topic {
-    const known = this.topics.get(name);
-    if (known !== undefined) return known;
+  private getOrCreateTopic(name: string): Topic {
+    const existing = this.topics.get(name);
+    if (existing !== undefined) return existing;
     const topic = Topic.create();
     this.topics.set(name, topic);
     return topic;
@@ -190,12 +194,12 @@
 
 function sendNewest(topic: Topic, response: ServerResponse): void {
   const newest = new Map<string, { offset: number; value: Buffer }>();
-  topic.records.forEach(({ key, value, bytes }, offset) => {
-    if (bytes !== undefined) return;
+  topic.records.forEach(({ key, value, rawBytes }, offset) => {
+    if (rawBytes !== undefined) return;
     if (value === undefined) newest.delete(key);
     else newest.set(key, { offset, value });
   });
-  // By key: a page says nothing of the order in which records were written.
+  // Sorted by key, since a page doesn't reflect the order of writes.
   const entries = [...newest]
     .sort(([one], [other]) => (one < other ? -1 : 1))
     .map(([key, { offset, value }]) => ({
@@ -207,30 +211,30 @@
   sendJson(response, 200, { entries, has_more: false, end_offset: nextOffset });
 }
 
-/** One keyed record. */
-async function takeAppended(
+/** Appends the single keyed record in the request body. */
+async function appendFromRequest(
   topic: Topic,
   request: IncomingMessage,
 ): Promise<void> {
   const parts: Buffer[] = [];
   for await (const part of request) parts.push(part as Buffer);
-  const record = Buffer.concat(parts).subarray(LENGTH_BYTES);
+  const record = Buffer.concat(parts).subarray(LENGTH_PREFIX_BYTES);
   const valueStart = 1 + record.readUInt8(0);
   const key = record.toString("utf8", 1, valueStart);
   const value = record.subarray(valueStart);
   topic.append({ key, value: value.length > 0 ? value : undefined });
 }
 
-function encodeRecord({ key, value, bytes }: StoredRecord): Buffer {
+function encodeRecord({ key, value, rawBytes }: StoredRecord): Buffer {
   const keyBytes = Buffer.from(key);
   const record =
-    bytes ??
+    rawBytes ??
     Buffer.concat([
       Buffer.from([keyBytes.length]),
       keyBytes,
       value ?? Buffer.alloc(0),
     ]);
-  const length = Buffer.alloc(LENGTH_BYTES);
+  const length = Buffer.alloc(LENGTH_PREFIX_BYTES);
   length.writeUInt32BE(record.length);
   return Buffer.concat([length, record]);
 }
--- a/standins/log.ts
+++ b/standins/log.ts
@@ -1,10 +1,10 @@
 /**
- * Stand-in of the platform's append-only log service, in memory: offsets,
- * long poll, retention, and its faults.
+ * In-memory simulation of the platform's append-only log service with offsets,
+ * long polling, retention and fault injection.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-  answerJson,
+  sendJson,
   readBody,
   startServer,
   type StandInCall,
@@ -12,26 +12,26 @@
 } from "./http.js";
 
 export interface LogFaults {
-  /** Every call is answered 503. */
+  /** Answers every call with 503. */
   outage: boolean;
-  /** Added before every answer. */
+  /** Delay before every call is handled. */
   slowMs: number;
-  /** So many appends take effect and get no answer. */
+  /** Number of upcoming appends that are applied but get no response. */
   loseAppendAnswers: number;
-  /** So many appends are refused without effect. */
+  /** Number of upcoming appends to reject without effect. */
   refuseAppends: number;
-  /** Appends wait until so many have come, then all take effect in a row. */
+  /** Holds appends until this many are pending, then applies them in order. */
   gatherAppends: number;
 }
 
 export interface LogStandIn extends StandInServer {
   readonly faults: LogFaults;
-  /** Drops the records of a stream before an offset. */
+  /** Deletes the records of a stream below an offset. */
   readonly trim: (stream: string, before: number) => void;
-  /** All kept data of a stream, as text. */
-  readonly texts: (stream: string) => readonly string[];
+  /** Data of all retained records of a stream, decoded as text. */
+  readonly recordTexts: (stream: string) => readonly string[];
   readonly appends: () => number;
-  /** Reads that were answered or wait for a record. */
+  /** Number of reads, including those still waiting for a record. */
   readonly reads: () => number;
 }
 
@@ -50,7 +50,7 @@
 interface LogState {
   readonly streams: Map<string, Stream>;
   readonly faults: LogFaults;
-  readonly gathered: (() => void)[];
+  readonly heldAppends: (() => void)[];
   appends: number;
   reads: number;
 }
@@ -65,53 +65,56 @@
       refuseAppends: 0,
       gatherAppends: 0,
     },
-    gathered: [],
+    heldAppends: [],
     appends: 0,
     reads: 0,
   };
-  const server = await startServer((call) => answer(state, call), port);
+  const server = await startServer((call) => handleCall(state, call), port);
   return {
     ...server,
     faults: state.faults,
     appends: () => state.appends,
     reads: () => state.reads,
     trim: (name, before) => {
-      const stream = streamOf(state, name);
+      const stream = getOrCreateStream(state, name);
       stream.records = stream.records.filter(({ offset }) => offset >= before);
       stream.startOffset = Math.max(stream.startOffset, before);
     },
-    texts: (name) =>
-      streamOf(state, name).records.map(({ data }) =>
+    recordTexts: (name) =>
+      getOrCreateStream(state, name).records.map(({ data }) =>
         Buffer.from(data, "base64").toString(),
       ),
   };
 }
 
-async function answer(state: LogState, call: StandInCall): Promise<void> {
+async function handleCall(state: LogState, call: StandInCall): Promise<void> {
   const { faults } = state;
   const body = await readBody(call.request);
   if (faults.slowMs > 0) await sleep(faults.slowMs);
   if (faults.outage) {
-    answerJson(call.response, { error: "outage" }, 503);
+    sendJson(call.response, { error: "outage" }, 503);
     return;
   }
-  const stream = streamOf(state, call.url.pathname.replace("/streams/", ""));
+  const stream = getOrCreateStream(
+    state,
+    call.url.pathname.replace("/streams/", ""),
+  );
   if (call.method === "POST") {
-    await gather(state);
+    await holdForBatch(state);
     append(state, stream, body.toString(), call);
   } else await read(state, stream, call);
 }
 
-async function gather({ faults, gathered }: LogState): Promise<void> {
+async function holdForBatch({ faults, heldAppends }: LogState): Promise<void> {
   if (faults.gatherAppends === 0) return;
-  const turn = new Promise<void>((resolve) => {
-    gathered.push(resolve);
+  const released = new Promise<void>((resolve) => {
+    heldAppends.push(resolve);
   });
-  if (gathered.length >= faults.gatherAppends) {
+  if (heldAppends.length >= faults.gatherAppends) {
     faults.gatherAppends = 0;
-    for (const proceed of gathered.splice(0)) proceed();
+    for (const proceed of heldAppends.splice(0)) proceed();
   }
-  await turn;
+  await released;
 }
 
 function append(
@@ -123,7 +126,7 @@
   const { faults } = state;
   if (faults.refuseAppends > 0) {
     faults.refuseAppends -= 1;
-    answerJson(response, { error: "refused" }, 503);
+    sendJson(response, { error: "refused" }, 503);
     return;
   }
   const { records } = JSON.parse(body) as { records: string[] };
@@ -139,7 +142,7 @@
     response.destroy();
     return;
   }
-  answerJson(response, { offset });
+  sendJson(response, { offset });
 }
 
 async function read(
@@ -155,17 +158,17 @@
     await waitForRecord(stream, parameter("waitMs"));
   }
   if (state.faults.outage) {
-    answerJson(response, { error: "outage" }, 503);
+    sendJson(response, { error: "outage" }, 503);
     return;
   }
   const { startOffset } = stream;
   if (from < startOffset) {
-    answerJson(response, { startOffset }, 410);
+    sendJson(response, { startOffset }, 410);
     return;
   }
   const first = from - startOffset;
   const records = stream.records.slice(first, first + parameter("limit"));
-  answerJson(response, {
+  sendJson(response, {
     startOffset,
     nextOffset: nextOffset(stream),
     records,
@@ -184,9 +187,9 @@
   });
 }
 
-function streamOf(state: LogState, name: string): Stream {
-  const known = state.streams.get(name);
-  if (known !== undefined) return known;
+function getOrCreateStream(state: LogState, name: string): Stream {
+  const existing = state.streams.get(name);
+  if (existing !== undefined) return existing;
   const stream = {
     startOffset: 0,
     records: [],
--- a/standins/map-register.ts
+++ b/standins/map-register.ts
@@ -1,6 +1,6 @@
 /**
- * The expert map side of one stand-in engine: the register that the published
- * interface in docs/PLATFORM-ENGINE.md describes. It only ever answers calls.
+ * Expert map state of one simulated engine, following the engine interface in
+ * docs/PLATFORM-ENGINE.md. It is passive: it changes only through calls.
  */
 import {
   compareBallots,
@@ -29,14 +29,14 @@
   readonly bytesPerExpert: number;
 }
 
-export interface InForce {
+export interface ActiveMap {
   readonly version: number;
   readonly map: ExpertMap;
-  readonly since: number;
+  readonly sinceStep: number;
   readonly origin: Ballot | null;
 }
 
-/** What an engine answers, and whether it did what it was told. */
+/** Response of an engine, and whether it accepted the call. */
 export interface RegisterAnswer {
   readonly accepted: boolean;
   readonly answer: EngineAnswer;
@@ -52,10 +52,10 @@
   group: Ballot | null = null;
   members: readonly GroupMember[] = [];
   step = 0;
-  inForce: InForce | undefined;
+  activeMap: ActiveMap | undefined;
   armed: ArmedProposal | null = null;
-  private heldSince: number | undefined;
-  private heldBeforeMs = 0;
+  private heldSinceMs: number | undefined;
+  private previousHoldsMs = 0;
   stepMs = 0;
   private armedMap: ExpertMap | null = null;
   private sealed: Ballot = lowestBallot;
@@ -70,77 +70,86 @@
 
   call(call: EngineCall, now: number): RegisterAnswer {
     const accepted = this.apply(call);
-    const withMaps =
+    const includesMaps =
       call.kind === "seal" || (call.kind === "read" && call.withMap);
     const answer: EngineAnswer = {
       state: this.state(now),
-      map: withMaps ? (this.inForce?.map ?? null) : null,
-      armedMap: withMaps ? this.armedMap : null,
+      map: includesMaps ? (this.activeMap?.map ?? null) : null,
+      armedMap: includesMaps ? this.armedMap : null,
       staged: call.kind === "stage" ? this.stagedWeights() : null,
     };
     return { accepted, answer };
   }
 
   state(now: number): EngineMapState {
-    const { inForce, settings, heldSince, staging } = this;
-    const heldMs = heldSince === undefined ? 0 : Math.max(1, now - heldSince);
+    const { activeMap, settings, heldSinceMs, staging } = this;
+    const heldMs =
+      heldSinceMs === undefined ? 0 : Math.max(1, now - heldSinceMs);
     return {
       engine: settings.engine,
       group: this.group,
       members: this.members,
       sealed: this.sealed,
-      version: inForce?.version ?? 0,
-      mapHash: inForce === undefined ? "" : hashMap(inForce.map),
-      since: inForce?.since ?? 0,
-      origin: inForce?.origin ?? null,
+      version: activeMap?.version ?? 0,
+      mapHash: activeMap === undefined ? "" : hashMap(activeMap.map),
+      since: activeMap?.sinceStep ?? 0,
+      origin: activeMap?.origin ?? null,
       armed: this.armed,
       floor: this.floor,
       step: this.step,
       stepMs: this.stepMs,
       heldMs,
-      heldTotalMs: this.heldBeforeMs + heldMs,
+      heldTotalMs: this.previousHoldsMs + heldMs,
       stagingHash: staging?.hash ?? "",
       stagingComplete: this.isComplete(staging),
     };
   }
 
-  /** Takes a part of weights; returns the bytes held of them now. */
+  /** Stores a chunk of an expert's weights; returns the bytes held so far. */
   putWeight(weight: WeightName, offset: number, length: number): number {
     const { staging } = this;
     const key = weightKey(weight);
     const held = staging?.bytes.get(key);
     if (staging === undefined || held === undefined) return 0;
-    // A part that isn't the next one leaves a hole; the sender reads on from
-    // what is held.
-    const next = offset === held ? held + length : held;
-    const whole = Math.min(next, this.settings.bytesPerExpert);
-    staging.bytes.set(key, whole);
-    return whole;
+    // Chunks that aren't contiguous are ignored; the sender continues from the
+    // returned size.
+    const received = offset === held ? held + length : held;
+    const total = Math.min(received, this.settings.bytesPerExpert);
+    staging.bytes.set(key, total);
+    return total;
   }
 
-  /** At the step of a proposal, and not able to begin it. */
+  /**
+   * Whether the engine has reached the step of an armed proposal that isn't
+   * committed or whose weights aren't staged.
+   */
   mustHold(now: number): boolean {
     const { armed, step, staging } = this;
     const holds =
       armed !== null &&
       step >= armed.proposal.step &&
       (!armed.committed || staging?.hash !== armed.proposal.mapHash);
-    if (holds) this.heldSince ??= now;
-    else if (this.heldSince !== undefined) {
-      this.heldBeforeMs += now - this.heldSince;
-      this.heldSince = undefined;
+    if (holds) this.heldSinceMs ??= now;
+    else if (this.heldSinceMs !== undefined) {
+      this.previousHoldsMs += now - this.heldSinceMs;
+      this.heldSinceMs = undefined;
     }
     return holds;
   }
 
-  /** Switches at the step of a committed proposal. */
-  reachStep(): void {
+  /** Switches maps once the step of a committed proposal is reached. */
+  switchIfCommitted(): void {
     const { armed, armedMap } = this;
     if (armed?.committed !== true || armedMap === null) return;
     if (this.step < armed.proposal.step) return;
     const { version, id } = armed.proposal;
-    this.inForce = { version, map: armedMap, since: this.step, origin: id };
-    this.clearArmed(id);
+    this.activeMap = {
+      version,
+      map: armedMap,
+      sinceStep: this.step,
+      origin: id,
+    };
+    this.disarm(id);
     this.staging = undefined;
   }
 
@@ -172,17 +181,18 @@
   }
 
   private stage(hash: string, weights: readonly WeightName[]): boolean {
-    // A promised engine that is armed stages for the formation, or it could
-    // never join; should a commit come after all, it holds (see mustHold).
-    const isPromised = !sameBallot(this.sealed, this.group);
-    if (this.armed !== null && !isPromised) return false;
+    // An engine that is sealed for a newer formation must stage even while it
+    // is armed, or it could never join. If the armed proposal is committed
+    // after all, the engine holds (see mustHold).
+    const isSealedForFormation = !sameBallot(this.sealed, this.group);
+    if (this.armed !== null && !isSealedForFormation) return false;
     const held = new Set(this.ownWeights().map(weightKey));
     const missing = weights.filter((item) => !held.has(weightKey(item)));
-    const known = this.staging?.bytes;
+    const stagedBytes = this.staging?.bytes;
     const bytes = new Map(
       missing.map((item) => {
         const key = weightKey(item);
-        return [key, known?.get(key) ?? 0];
+        return [key, stagedBytes?.get(key) ?? 0];
       }),
     );
     this.staging = { hash, bytes, weights: missing };
@@ -191,7 +201,7 @@
 
   private arm(proposal: Proposal, map: ExpertMap): boolean {
     if (this.isArmed(proposal)) return true;
-    const possible =
+    const isAcceptable =
       sameBallot(this.group, proposal.group) &&
       sameBallot(this.sealed, proposal.group) &&
       this.armed === null &&
@@ -200,7 +210,7 @@
       compareBallots(proposal.id, this.floor) > 0 &&
       this.staging?.hash === proposal.mapHash &&
       this.isComplete(this.staging);
-    if (!possible) return false;
+    if (!isAcceptable) return false;
     this.armed = { proposal, committed: false };
     this.armedMap = map;
     return true;
@@ -209,7 +219,7 @@
   private refuse(proposal: Proposal): boolean {
     if (!sameBallot(this.group, proposal.group)) return false;
     if (this.isArmed(proposal)) return false;
-    if (sameBallot(this.inForce?.origin ?? null, proposal.id)) return false;
+    if (sameBallot(this.activeMap?.origin ?? null, proposal.id)) return false;
     this.floor = higherBallot(this.floor, proposal.id);
     return true;
   }
@@ -220,13 +230,13 @@
       this.armed = { proposal, committed: true };
       return true;
     }
-    return sameBallot(this.inForce?.origin ?? null, proposal.id);
+    return sameBallot(this.activeMap?.origin ?? null, proposal.id);
   }
 
   private abort(proposal: Proposal): boolean {
     if (!sameBallot(this.group, proposal.group)) return false;
     if (this.isArmed(proposal) && this.armed?.committed === true) return false;
-    if (this.isArmed(proposal)) this.clearArmed(proposal.id);
+    if (this.isArmed(proposal)) this.disarm(proposal.id);
     return true;
   }
 
@@ -245,7 +255,7 @@
     }
     this.group = formation;
     this.members = members;
-    this.inForce = { version, map, since: 0, origin: null };
+    this.activeMap = { version, map, sinceStep: 0, origin: null };
     this.step = 0;
     this.armed = null;
     this.armedMap = null;
@@ -254,7 +264,7 @@
     return true;
   }
 
-  private clearArmed(id: Ballot): void {
+  private disarm(id: Ballot): void {
     this.armed = null;
     this.armedMap = null;
     this.floor = higherBallot(this.floor, id);
@@ -276,8 +286,8 @@
   }
 
   private ownWeights(): readonly WeightName[] {
-    if (this.inForce === undefined) return [];
+    if (this.activeMap === undefined) return [];
     const ranks = ranksOf(this.members, this.settings.member);
-    return weightsOf(this.inForce.map, ranks);
+    return weightsOf(this.activeMap.map, ranks);
   }
 }
--- a/standins/plain-service.ts
+++ b/standins/plain-service.ts
@@ -1,20 +1,15 @@
 /**
- * Stand-in of a plain service, such as valve records: one JSON answer a call,
- * with a record of what ran.
+ * Simulates a plain HTTP service that answers every call with JSON and records
+ * the requests it executed.
  */
 import type { Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import {
-  answerJson,
-  readBody,
-  startServer,
-  type StandInServer,
-} from "./http.js";
+import { sendJson, readBody, startServer, type StandInServer } from "./http.js";
 
 export interface PlainServiceStandIn extends StandInServer {
-  /** Request ids in the order in which they ran. */
+  /** Request ids in execution order. */
   readonly ran: readonly string[];
-  /** Bodies in the same order. */
+  /** Request bodies in execution order. */
   readonly bodies: readonly string[];
   readonly faults: PlainServiceFaults;
 }
@@ -22,7 +17,7 @@
 export interface PlainServiceFaults {
   delayMs: number;
   cutAnswers: number;
-  /** Answers in place of the service, byte by byte. */
+  /** Writes a raw response to the socket instead of the JSON answer. */
   answerRaw: ((socket: Socket) => void) | undefined;
 }
 
@@ -53,7 +48,7 @@
         return;
       }
       const path = url.pathname;
-      answerJson(response, { id, method, path, echo: body.toString() });
+      sendJson(response, { id, method, path, echo: body.toString() });
     },
     port,
   );
--- a/standins/signing-runner.ts
+++ b/standins/signing-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a runner of the users' platform: names itself, signs what it
- * answers, refuses what is meant for another, and misbehaves on demand.
+ * Simulates a runner of the users' platform. It signs its responses, rejects
+ * requests addressed to another runner, and can be given faulty behaviour.
  */
 import {
   createServer,
@@ -11,37 +11,37 @@
 import { headerNames } from "../platform/names.js";
 import { listen, type Listening } from "../src/daemon/listening.js";
 
-/** A request as the runner got it. */
-export interface Arrival {
+/** A request as received by the runner. */
+export interface ReceivedRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: IncomingMessage["headers"];
   readonly body: string;
-  /** Set when the connection closed before the answer was whole. */
+  /** Set if the connection closed before the response was complete. */
   isAbandoned: boolean;
 }
 
 export interface Exchange {
-  readonly arrival: Arrival;
+  readonly arrival: ReceivedRequest;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** Names the runner and the attempt. */
+  /** Response headers that identify the runner and the attempt. */
   readonly signed: Readonly<Record<string, string>>;
 }
 
 export type Behaviour = (exchange: Exchange) => void | Promise<void>;
 
-const MISDIRECTED = 421;
+const STATUS_MISDIRECTED = 421;
 
 export class SigningRunner implements AsyncDisposable {
-  readonly arrivals: Arrival[] = [];
-  /** Requests meant for another runner. */
+  readonly arrivals: ReceivedRequest[] = [];
+  /** Number of requests addressed to another runner. */
   misdirected = 0;
-  /** How often it has crashed. */
+  /** Number of crashes so far. */
   crashes = 0;
-  private listening: Listening | undefined;
+  private listeningServer: Listening | undefined;
   private server: Server | undefined;
-  private isOver = false;
+  private isDisposed = false;
 
   private constructor(
     readonly id: string,
@@ -54,19 +54,19 @@
     return runner;
   }
 
-  /** Its process ends, and another one begins at its address later. */
+  /** Closes all connections and listens at the same address after `downMs`. */
   async crash(downMs: number): Promise<void> {
     const { address } = this;
     this.crashes += 1;
     this.server?.closeAllConnections();
     this.server?.close();
     await sleepMs(downMs);
-    if (!this.isOver) await this.listen(Number(address.split(":").at(-1)));
+    if (!this.isDisposed) await this.listen(Number(address.split(":").at(-1)));
   }
 
   /** host:port */
   get address(): string {
-    return this.listening?.address ?? "";
+    return this.listeningServer?.address ?? "";
   }
 
   set behaviour(behave: Behaviour) {
@@ -74,19 +74,19 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.isOver = true;
-    await this.listening?.[Symbol.asyncDispose]();
+    this.isDisposed = true;
+    await this.listeningServer?.[Symbol.asyncDispose]();
   }
 
   private async listen(port: number): Promise<void> {
     const server = createServer((request, response) => {
-      void this.answer(request, response);
+      void this.handleRequest(request, response);
     });
     this.server = server;
-    this.listening = await listen(server, { host: "127.0.0.1", port });
+    this.listeningServer = await listen(server, { host: "127.0.0.1", port });
   }
 
-  private async answer(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -95,10 +95,10 @@
     const expected = request.headers[headerNames.expectedRunner];
     if (expected !== undefined && expected !== this.id) {
       this.misdirected += 1;
-      response.writeHead(MISDIRECTED).end();
+      response.writeHead(STATUS_MISDIRECTED).end();
       return;
     }
-    const arrival = await readArrival(request);
+    const arrival = await readRequest(request);
     response.once("close", () => {
       arrival.isAbandoned = !response.writableFinished;
     });
@@ -112,27 +112,27 @@
   }
 }
 
-/** A whole answer. */
+/** Sends a complete response. */
 export function answerWith(body: string, status = 200): Behaviour {
   return ({ response, signed }) => {
     response.writeHead(status, signed).end(body);
   };
 }
 
-/** How the connection of an answer that was written by hand goes on. */
-export type RawEnd = "end" | "reset" | "open";
+/** What happens to the connection after a raw response was written. */
+export type ConnectionEnd = "end" | "reset" | "open";
 
-/** Between the bytes of an answer and the reset of its connection, ms. */
-const RESET_AFTER_MS = 20;
+/** Delay between the last response byte and the connection reset. */
+const RESET_DELAY_MS = 20;
 
 /**
- * A success as bytes: `head` holds whole header lines, and nothing marks the
- * body's end unless they do.
+ * Writes a raw 200 response. `head` holds complete header lines; the body is
+ * unframed unless they declare its length or chunking.
  */
 export function answerRaw(
   head: string,
   body: string,
-  end: RawEnd = "open",
+  end: ConnectionEnd = "open",
 ): (exchange: Pick<Exchange, "request" | "signed">) => void {
   return ({ request: { socket }, signed }) => {
     const lines = Object.entries(signed).map(
@@ -143,31 +143,31 @@
     if (end !== "reset") return;
     setTimeout(() => {
       socket.resetAndDestroy();
-    }, RESET_AFTER_MS);
+    }, RESET_DELAY_MS);
   };
 }
 
-/** A success without length or chunks, which ends with its connection. */
+/** A 200 response whose body is delimited by the connection close. */
 export function answerUntilClose(body: string): Behaviour {
   return answerRaw("", body, "end");
 }
 
-/** Says that it is full; nothing was run. */
+/** Rejects with 503 and the header that says nothing was executed. */
 export const refuseAsFull: Behaviour = ({ response }) => {
   response.writeHead(503, { [headerNames.notRun]: "1" }).end();
 };
 
-/** Takes the request and resets the connection. */
+/** Reads the request, then resets the connection without a response. */
 export const resetUnanswered: Behaviour = ({ request }) => {
   request.socket.resetAndDestroy();
 };
 
-/** Never answers. */
+/** Never responds. */
 export const staySilent: Behaviour = () => undefined;
 
 /**
- * A stream of events numbered on from the last one that the caller has. With
- * `breakAfter`, the connection is reset inside the event after that one.
+ * Streams events, resuming after the Last-Event-ID header. With `breakAfter`,
+ * resets the connection in the middle of the event that follows that id.
  */
 export function streamEvents(total: number, breakAfter?: number): Behaviour {
   return async ({ request, response, signed }) => {
@@ -194,7 +194,7 @@
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
-async function readArrival(request: IncomingMessage): Promise<Arrival> {
+async function readRequest(request: IncomingMessage): Promise<ReceivedRequest> {
   const parts: Buffer[] = [];
   for await (const part of request) parts.push(part as Buffer);
   return {
--- a/standins/silent-relay.ts
+++ b/standins/silent-relay.ts
@@ -1,40 +1,40 @@
 /**
- * A relay between two ends of a TCP connection that can lose track of the
- * connections it has: they stay open and take bytes, but nothing arrives any
- * more, while new connections work.
+ * TCP relay that can turn its open connections into black holes: they stay open
+ * and accept bytes but deliver none, while new connections work. This is how a
+ * middlebox behaves that has lost its connection state.
  */
 import { connect, createServer, type AddressInfo, type Socket } from "node:net";
 
 export interface SilentRelay extends AsyncDisposable {
   /** host:port to connect to. */
   readonly address: string;
-  /** Silences all connections that are open now. */
+  /** Stops delivery on all open connections and returns their number. */
   readonly silence: () => number;
 }
 
-interface Link {
-  readonly near: Socket;
-  readonly far: Socket;
+interface RelayedConnection {
+  readonly client: Socket;
+  readonly upstream: Socket;
 }
 
-/** Relays to the host:port that `target` gives for each new connection. */
+/** Relays each new connection to the host:port that `target` returns. */
 export async function startSilentRelay(
   target: () => string,
 ): Promise<SilentRelay> {
-  const links = new Set<Link>();
-  const server = createServer((near) => {
+  const connections = new Set<RelayedConnection>();
+  const server = createServer((client) => {
     const [host = "", port = "0"] = target().split(":");
-    const far = connect(Number(port), host);
-    const link = { near, far };
-    links.add(link);
-    near.pipe(far);
-    far.pipe(near);
+    const upstream = connect(Number(port), host);
+    const connection = { client, upstream };
+    connections.add(connection);
+    client.pipe(upstream);
+    upstream.pipe(client);
     const end = (): void => {
-      links.delete(link);
-      near.destroy();
-      far.destroy();
+      connections.delete(connection);
+      client.destroy();
+      upstream.destroy();
     };
-    for (const socket of [near, far]) {
+    for (const socket of [client, upstream]) {
       socket.on("error", end);
       socket.on("close", end);
     }
@@ -42,27 +42,28 @@
   await new Promise<void>((resolve) => {
     server.listen(0, "127.0.0.1", resolve);
   });
-  const { port: given } = server.address() as AddressInfo;
+  const { port: assignedPort } = server.address() as AddressInfo;
   return {
-    address: `127.0.0.1:${given}`,
+    address: `127.0.0.1:${assignedPort}`,
     silence: () => {
-      for (const { near, far } of links) swallow(near, far);
-      return links.size;
+      for (const { client, upstream } of connections)
+        discardTraffic(client, upstream);
+      return connections.size;
     },
     async [Symbol.asyncDispose]() {
-      for (const { near, far } of links) {
-        near.destroy();
-        far.destroy();
+      for (const { client, upstream } of connections) {
+        client.destroy();
+        upstream.destroy();
       }
       await new Promise((resolve) => server.close(resolve));
     },
   };
 }
 
-/** Both ends can still write; what they write goes nowhere. */
-function swallow(near: Socket, far: Socket): void {
-  near.unpipe(far);
-  far.unpipe(near);
-  near.resume();
-  far.resume();
+/** Both ends can still write, but nothing is delivered. */
+function discardTraffic(client: Socket, upstream: Socket): void {
+  client.unpipe(upstream);
+  upstream.unpipe(client);
+  client.resume();
+  upstream.resume();
 }
--- a/standins/weight-store.ts
+++ b/standins/weight-store.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in of the platform's weight store: parts of weights by byte range, at a
- * limited rate, with outages.
+ * Simulates the platform's weight store: serves byte ranges of weights at a
+ * limited rate, with outages and truncated responses.
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import { answerJson, startServer, type StandInServer } from "./http.js";
+import { sendJson, startServer, type StandInServer } from "./http.js";
 
 export interface WeightStoreOptions {
   readonly bytesPerExpert: number;
@@ -12,10 +12,10 @@
 
 export interface WeightStoreFaults {
   outage: boolean;
-  /** The outage begins by itself after so many more parts; 0 for never. */
+  /** Starts an outage after this many complete responses; 0 for never. */
   partsBeforeOutage: number;
-  /** Every n-th answer is cut in half; 0 cuts none. */
-  cutEvery: number;
+  /** Truncates every n-th response to half its length; 0 truncates none. */
+  truncateEvery: number;
 }
 
 export interface WeightStoreStandIn extends StandInServer {
@@ -23,10 +23,10 @@
   readonly servedBytes: () => number;
 }
 
-const PATH = /^\/weights\/[^/]+\/\d+\/\d+$/;
-const RANGE = /^bytes=(\d+)-(\d+)$/;
-/** A part that would have to wait longer is refused. */
-const LONGEST_QUEUE_MS = 2_000;
+const WEIGHT_PATH = /^\/weights\/[^/]+\/\d+\/\d+$/;
+const RANGE_HEADER = /^bytes=(\d+)-(\d+)$/;
+/** Requests that would have to wait longer are rejected with 429. */
+const MAX_QUEUE_MS = 2_000;
 
 export async function startWeightStore(
   options: WeightStoreOptions,
@@ -36,34 +36,34 @@
   const faults: WeightStoreFaults = {
     outage: false,
     partsBeforeOutage: 0,
-    cutEvery: 0,
+    truncateEvery: 0,
   };
-  let freeAt = 0;
+  let linkFreeAtMs = 0;
   let served = 0;
   let answers = 0;
   const server = await startServer(async ({ url, request, response }) => {
-    const [, from, to] = RANGE.exec(request.headers.range ?? "") ?? [];
+    const [, from, to] = RANGE_HEADER.exec(request.headers.range ?? "") ?? [];
     const first = Number(from);
     const length = Math.min(Number(to) + 1, bytesPerExpert) - first;
-    if (!PATH.test(url.pathname) || !(length > 0)) {
-      answerJson(response, { error: "no such part" }, 404);
+    if (!WEIGHT_PATH.test(url.pathname) || !(length > 0)) {
+      sendJson(response, { error: "unknown weight or byte range" }, 404);
       return;
     }
     if (faults.outage) {
-      answerJson(response, { error: "outage" }, 503);
+      sendJson(response, { error: "outage" }, 503);
       return;
     }
-    const waitMs = Math.max(0, freeAt - Date.now());
-    if (waitMs > LONGEST_QUEUE_MS) {
+    const waitMs = Math.max(0, linkFreeAtMs - Date.now());
+    if (waitMs > MAX_QUEUE_MS) {
       response.setHeader("retry-after", "1");
-      answerJson(response, { error: "over the rate" }, 429);
+      sendJson(response, { error: "rate limit exceeded" }, 429);
       return;
     }
-    freeAt = Date.now() + waitMs + (length / bytesPerSecond) * 1000;
-    await sleep(freeAt - Date.now());
+    linkFreeAtMs = Date.now() + waitMs + (length / bytesPerSecond) * 1000;
+    await sleep(linkFreeAtMs - Date.now());
     answers += 1;
     response.writeHead(206, { "content-length": length });
-    if (faults.cutEvery > 0 && answers % faults.cutEvery === 0) {
+    if (faults.truncateEvery > 0 && answers % faults.truncateEvery === 0) {
       response.write(Buffer.alloc(Math.ceil(length / 2)));
       response.destroy();
       return;
