--- a/fuzz/claims/simulation.ts
+++ b/fuzz/claims/simulation.ts
@@ -7,7 +7,7 @@
   CLAIM_SHARDS,
   ClaimCoordinator,
   AgentGate,
-  answerAboutAttempt,
+  answerAttemptQuery,
   checkKeyAge,
   encodeClaimBatch,
   errorTable,
@@ -20,7 +20,7 @@
   type AgentEffect,
   type AttemptAnswer,
   type AttemptRegistry,
-  type AttemptQuestion,
+  type AttemptQuery,
   type Call as SessionCall,
   type CoordinatorRules,
   type ErrorNumber,
@@ -401,8 +401,8 @@
     const { attempt, agentIncarnation } = claim;
     this.time.after(NETWORK_DELAY_MS, () => {
       const agent = this.agents.find(({ name }) => name === claim.agent);
-      const question = { agentIncarnation, attempt, tombstone };
-      const found = agent && this.answerQuery(agent, question);
+      const query = { agentIncarnation, attempt, tombstone };
+      const found = agent && this.answerQuery(agent, query);
       // A query may take effect even if its answer is lost.
       const isAnswered = agent?.isReachable === true && found !== undefined;
       const answerReceived = isAnswered
@@ -416,11 +416,11 @@
     });
   }
 
-  private answerQuery(agent: Agent, question: AttemptQuestion): AttemptAnswer {
+  private answerQuery(agent: Agent, query: AttemptQuery): AttemptAnswer {
     const { gate, incarnation } = agent;
     gate.tick(this.time.nowMs);
     const registry = this.rules.attemptRegistry(gate, incarnation);
-    return answerAboutAttempt(registry, question, this.time.nowMs);
+    return answerAttemptQuery(registry, query, this.time.nowMs);
   }
 
   private recordStart(key: string): void {
--- a/fuzz/expertmap.ts
+++ b/fuzz/expertmap.ts
@@ -218,7 +218,7 @@
 }
 
 /** Runs a history and returns the violations found. */
-export function judge(input: History, mutation?: string): string[] {
+export function checkHistory(input: History, mutation?: string): string[] {
   const simulation = GroupSimulation.create({
     seed: input.seed,
     safeguards: {
@@ -243,7 +243,7 @@
   return Promise.resolve(
     runJudged(settings, {
       history,
-      judge: (input) => judge(input, mutation),
+      judge: (input) => checkHistory(input, mutation),
       title: ({ seed }) => `seed ${seed}`,
     }),
   );
--- a/fuzz/membership/directory-simulation.ts
+++ b/fuzz/membership/directory-simulation.ts
@@ -53,10 +53,11 @@
         this.time.after(delayMs, action);
       },
       emit: ignoreEvents,
-      onServer: (server) => this.active.set(server.id, server),
-      onGone: (id) => this.active.delete(id),
+      onServerAvailable: (server) => this.active.set(server.id, server),
+      onServerUnavailable: (id) => this.active.delete(id),
       isServiceNamed: () => true,
-      onEnded: (earlier, later) => this.replacements.push({ earlier, later }),
+      onServerReplaced: (earlier, later) =>
+        this.replacements.push({ earlier, later }),
     });
   }
 
--- a/fuzz/membership/lives.ts
+++ b/fuzz/membership/lives.ts
@@ -32,7 +32,7 @@
 
 interface Registration {
   readonly id: (typeof IDS)[number];
-  readonly life: number;
+  readonly incarnation: number;
   readonly heartbeat: number;
   readonly place: number;
   readonly isLeaving: boolean;
@@ -52,7 +52,7 @@
 
 const registration: fc.Arbitrary<Registration> = fc.record({
   id: fc.constantFrom(...IDS),
-  life: fc.nat({ max: MAX_INCARNATION }),
+  incarnation: fc.nat({ max: MAX_INCARNATION }),
   heartbeat: fc.integer({ min: 1, max: MAX_HEARTBEAT }),
   place: fc.nat({ max: ADDRESSES_PER_HOST - 1 }),
   isLeaving: fc.constantFrom(false, false, false, true),
@@ -110,12 +110,12 @@
 
 function serverOf(
   mode: Mode,
-  { id, life, heartbeat, place, isLeaving }: Registration,
+  { id, incarnation, heartbeat, place, isLeaving }: Registration,
 ): BackendServer {
   const host = mode === "shared" ? "shared" : id;
   return {
     id,
-    startedAtMs: mode === "untold" ? undefined : FIRST_START + life,
+    startedAtMs: mode === "untold" ? undefined : FIRST_START + incarnation,
     service: "model",
     address: `${host}:${place}`,
     dataCentre: "here",
@@ -153,7 +153,7 @@
 }
 
 /** Runs a history; returns the violations after its first failing step. */
-export function judgeLives({ mode, steps }: LivesHistory): readonly string[] {
+export function checkLives({ mode, steps }: LivesHistory): readonly string[] {
   const simulation = DirectorySimulation.create(LAPSE_GRACE_MS);
   for (const step of steps) {
     applyCommand(simulation, mode, step);
@@ -218,7 +218,7 @@
     Promise.resolve(
       runJudged(settings, {
         history,
-        judge: judgeLives,
+        judge: checkLives,
         title: ({ mode }) => `mode ${mode}`,
       }),
     ),
--- a/fuzz/membership/shared-addresses.ts
+++ b/fuzz/membership/shared-addresses.ts
@@ -1,5 +1,5 @@
 /** Invariants for runners that share addresses. */
-import { orderOfLives } from "../../src/membership/life.js";
+import { compareIncarnations } from "../../src/membership/incarnation.js";
 import type { BackendServer } from "../../src/membership/types.js";
 import type {
   DirectorySimulation,
@@ -40,7 +40,7 @@
 }
 
 function invalidReplacements({ earlier, later }: Replacement): string[] {
-  const order = orderOfLives(earlier.startedAtMs, later.startedAtMs);
+  const order = compareIncarnations(earlier.startedAtMs, later.startedAtMs);
   const isRelated =
     earlier.id === later.id || earlier.address === later.address;
   return order === "later" && isRelated
@@ -60,7 +60,8 @@
   return before
     .filter((holder) => holder.id !== id && holder.address === address)
     .filter(
-      (holder) => orderOfLives(startedAtMs, holder.startedAtMs) === "later",
+      (holder) =>
+        compareIncarnations(startedAtMs, holder.startedAtMs) === "later",
     )
     .filter((holder) => !active.has(holder.id))
     .map((holder) => `${id} has taken the address of ${holder.id}`);
@@ -87,7 +88,7 @@
   if (holder?.id === server.id) return [];
   const isOlder =
     holder !== undefined &&
-    orderOfLives(server.startedAtMs, holder.startedAtMs) === "later";
+    compareIncarnations(server.startedAtMs, holder.startedAtMs) === "later";
   return isOlder ? [] : [`${server.id} has registered and isn't active`];
 }
 
--- a/fuzz/orders-simulation.ts
+++ b/fuzz/orders-simulation.ts
@@ -10,7 +10,7 @@
   ignoreEvents,
   LeaseHolder,
   noLease,
-  OrderDesk,
+  OrderExecutor,
   randomBelow,
   type Lease,
   type LeaseRecord,
@@ -77,7 +77,7 @@
   private readonly values: Partial<Record<OrderKind, string>> = {};
   private engineFencing = -1;
   private confirmed: Confirmation = { at: 0, fencing: -1 };
-  private executor: OrderDesk;
+  private executor: OrderExecutor;
   private executorGeneration = 0;
   private agentView: Lease = noLease;
   private agentPosition = 0;
@@ -148,12 +148,12 @@
     return holder.pausedUntil <= this.now && holder.lease.holds(this.now);
   }
 
-  private createExecutor(): OrderDesk {
+  private createExecutor(): OrderExecutor {
     const { checksFencing, safeguards } = this.settings;
     const effectMs = EFFECT_TICKS * TICK_MS;
     this.executorGeneration += 1;
     const engine = { checksFencing, effectMs };
-    return OrderDesk.create(engine, ignoreEvents, this.now, safeguards);
+    return OrderExecutor.create(engine, ignoreEvents, this.now, safeguards);
   }
 
   private tick(): void {
@@ -215,7 +215,7 @@
         if (order !== undefined) this.newestOrders = [order];
       }
     }
-    this.executor.learn(this.newestOrders);
+    this.executor.onOrdersRead(this.newestOrders);
   }
 
   /**
@@ -235,7 +235,7 @@
         this.applyOrder(order);
       });
     }
-    this.carryOut(this.executor.take(order, this.now));
+    this.carryOut(this.executor.submit(order, this.now));
   }
 
   private isAccepted(offset: number, record: OrderRecord): boolean {
@@ -262,7 +262,7 @@
         const { order } = effect.reply;
         // Holders retry, even if they have lost their lease.
         this.after(4, () => {
-          this.carryOut(this.executor.take(order, this.now));
+          this.carryOut(this.executor.submit(order, this.now));
         });
       }
     }
@@ -286,10 +286,10 @@
       const accepted = call.kind === "read" || this.applyOrder(call.order);
       const state = { engine: "e", values: { ...this.values } };
       if (lost) return;
-      settle(() => this.executor.answered({ accepted, state }, this.now));
+      settle(() => this.executor.onAnswer({ accepted, state }, this.now));
     });
     this.after(CALL_TIMEOUT_TICKS, () => {
-      settle(() => this.executor.failed(this.now));
+      settle(() => this.executor.onCallFailed(this.now));
     });
   }
 
--- a/fuzz/records/answers.ts
+++ b/fuzz/records/answers.ts
@@ -7,7 +7,7 @@
   decodeExperts,
   decodeReport,
 } from "../../platform/runner.js";
-import { decodeSeat } from "../../platform/seats.js";
+import { decodeLeaseAssignment } from "../../platform/lease-service.js";
 import {
   decodeChangesPage,
   decodeNewestPage,
--- a/fuzz/records/register.ts
+++ b/fuzz/records/register.ts
@@ -102,9 +102,9 @@
     after: () => undefined,
     emit: ignoreEvents,
     isServiceNamed: () => false,
-    onEnded: () => undefined,
-    onServer: ({ id }) => this.known.add(id),
-    onGone: (id) => this.known.delete(id),
+    onServerReplaced: () => undefined,
+    onServerAvailable: ({ id }) => this.known.add(id),
+    onServerUnavailable: (id) => this.known.delete(id),
   });
 
   private constructor() {
--- a/fuzz/requests/simulation.ts
+++ b/fuzz/requests/simulation.ts
@@ -98,10 +98,10 @@
 /** Short enough that histories of a few seconds reach the limits. */
 export const FUZZ_LIMITS: SessionLimits = {
   ...SESSION_LIMITS,
-  doubtMs: 6_000,
-  holdMs: 3_500,
-  proofMs: 20_000,
-  holdRunBytes: 200,
+  closeTimeoutMs: 6_000,
+  answerRetentionMs: 3_500,
+  closedSessionRetentionMs: 20_000,
+  runBufferBytes: 200,
 };
 
 export class Simulation {
--- a/fuzz/suspects/suspects.ts
+++ b/fuzz/suspects/suspects.ts
@@ -218,7 +218,7 @@
 }
 
 /** Runs a history; returns the violations after its first failing step. */
-export function judgeSuspects({ steps }: History): readonly string[] {
+export function checkSuspects({ steps }: History): readonly string[] {
   const simulation = new SuspectsSimulation();
   for (const step of steps) {
     simulation.apply(step);
@@ -257,7 +257,7 @@
     Promise.resolve(
       runJudged(settings, {
         history,
-        judge: judgeSuspects,
+        judge: checkSuspects,
         title: () => "suspects",
       }),
     ),
--- a/measure/placement.ts
+++ b/measure/placement.ts
@@ -244,9 +244,13 @@
 function sweepChoosers(): Readonly<Record<string, CreateChooser>> {
   const choosers: Record<string, CreateChooser> = {};
   for (const samples of [4, 8, 16, 32]) {
-    for (const reportTrustMs of [100, 300, 1000]) {
-      const name = `${samples} samples, ${reportTrustMs} ms`;
-      choosers[name] = ours({ scanUpTo: samples, samples, reportTrustMs });
+    for (const reportDecayMs of [100, 300, 1000]) {
+      const name = `${samples} samples, ${reportDecayMs} ms`;
+      choosers[name] = ours({
+        fullScanLimit: samples,
+        sampleCount: samples,
+        reportDecayMs,
+      });
     }
   }
   return choosers;
--- a/measure/slopes-workloads.ts
+++ b/measure/slopes-workloads.ts
@@ -122,7 +122,7 @@
   );
   const limit = { tokensPerSecond: 1000, burstTokens: 10_000 };
   for (let index = 0; index < accounts; index++) {
-    limits.take(`account-${index}`, limit, 800);
+    limits.charge(`account-${index}`, limit, 800);
   }
   return limits;
 }
--- a/measure/support/choosers.ts
+++ b/measure/support/choosers.ts
@@ -5,9 +5,9 @@
   ignoreEvents,
   Placement,
   randomBelow,
-  type Choice,
+  type PlacementChoice,
   type Now,
-  type Placed,
+  type PlacedRequest,
   type PlacementRequest,
   type PlacementSettings,
   type PlacementTuning,
@@ -119,7 +119,7 @@
   inFlight: number,
   { promptTokens, outputTokens }: PlacementRequest,
   { prefillMsPerToken, stepMs, queueShare }: PlacementSettings,
-): Choice {
+): PlacementChoice {
   const nominalMs = promptTokens * prefillMsPerToken + outputTokens * stepMs;
   return {
     runner,
--- a/measure/support/entries.ts
+++ b/measure/support/entries.ts
@@ -7,7 +7,7 @@
   RetryAllowance,
   type AdmissionRequest,
   type AdmissionTuning,
-  type Choice,
+  type PlacementChoice,
 } from "../../src/internal.js";
 import {
   placementRequest,
@@ -145,7 +145,7 @@
         retry(openCall, request);
       },
       refused: () => {
-        admission.putBack(request);
+        admission.requeue(request);
         admission.drain(POOL);
       },
     });
@@ -178,7 +178,7 @@
     now: () => site.clock.nowMs,
     random,
     emit,
-    entries: () => site.settings.entries,
+    countLiveEntries: () => site.settings.entries,
     tuning,
     start,
     giveUp: ({ id }, { retryAfterMs }) => {
--- a/measure/support/site.ts
+++ b/measure/support/site.ts
@@ -6,8 +6,8 @@
 import {
   AgentLimit,
   createRandom,
-  type Choice,
-  type Placed,
+  type PlacementChoice,
+  type PlacedRequest,
   type PlacementRequest,
   type Random,
   type RunnerDescription,
@@ -48,7 +48,7 @@
 
 export interface Attempt {
   readonly call: Call;
-  readonly placed: Placed;
+  readonly placed: PlacedRequest;
   readonly onStarted?: () => void;
   readonly onFirstToken: () => void;
   readonly onEnded: (result: JobResult) => void;
@@ -147,7 +147,7 @@
     });
   }
 
-  choose(entry: number, request: PlacementRequest): Choice {
+  choose(entry: number, request: PlacementRequest): PlacementChoice {
     return this.choosers[entry].choose(request).unsafeCoerce();
   }
 
--- a/src/admission/account-limits.ts
+++ b/src/admission/account-limits.ts
@@ -35,7 +35,7 @@
    * Charges the account and returns 0, or returns the time in ms until it can
    * be charged.
    */
-  take(account: string, limit: AccountLimit, tokens: number): number {
+  charge(account: string, limit: AccountLimit, tokens: number): number {
     const bucket = this.refill(account, limit);
     if (bucket.tokens > 0) {
       bucket.tokens -= tokens;
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -15,7 +15,7 @@
   AdmissionRequest,
   AdmissionTuning,
   RequestCompletion,
-  Offer,
+  AdmissionDecision,
 } from "./types.js";
 
 /** A retry that comes sooner finds the queue unchanged. */
@@ -52,7 +52,7 @@
 
   private constructor(private readonly inputs: AdmissionInputs) {
     this.tuning = { ...DEFAULT_TUNING, ...inputs.tuning };
-    this.limits = AccountLimits.create(inputs.now, inputs.entries);
+    this.limits = AccountLimits.create(inputs.now, inputs.countLiveEntries);
   }
 
   static create(inputs: AdmissionInputs): Admission {
@@ -65,10 +65,10 @@
 
   /** Earliest time at which `giveUpExpired` has a request to give up. */
   get nextGiveUpAtMs(): number {
-    return this.giveUpTimes.leastKey;
+    return this.giveUpTimes.minimumKey;
   }
 
-  offer(request: AdmissionRequest): Offer {
+  offer(request: AdmissionRequest): AdmissionDecision {
     const pool = this.poolOf(request.pool);
     const limitRefusal = this.chargeAccount(request);
     if (limitRefusal !== undefined) return limitRefusal;
@@ -106,7 +106,7 @@
    */
   giveUpExpired(): void {
     const nowMs = this.inputs.now();
-    while (this.giveUpTimes.leastKey <= nowMs) {
+    while (this.giveUpTimes.minimumKey <= nowMs) {
       const waiting = this.giveUpTimes.pop();
       if (waiting === undefined || waiting.isRemoved) continue;
       const isLate = this.latestStartAtMs(waiting.request) <= nowMs;
@@ -130,7 +130,7 @@
    * Queues a request again, with its original deadline, after the chosen
    * runner's agent refused it or its attempt failed and may be repeated.
    */
-  putBack(request: AdmissionRequest): void {
+  requeue(request: AdmissionRequest): void {
     const pool = this.poolOf(request.pool);
     pool.queue.onEnded(request, 0, undefined);
     const waiting = this.enqueue(request, pool, true);
@@ -166,7 +166,7 @@
     request: AdmissionRequest,
     pool: PoolState,
     queue: ProfileQueue,
-  ): Offer | undefined {
+  ): AdmissionDecision | undefined {
     const nowMs = this.inputs.now();
     const waitMs = pool.queue.predictWaitMs(request);
     const leftMs = this.giveUpAtMs(request) - nowMs;
@@ -190,7 +190,7 @@
     pool: PoolState,
     queue: ProfileQueue,
     waitMs: number,
-  ): Offer | undefined {
+  ): AdmissionDecision | undefined {
     const { account, weight, costTokens } = request;
     const own = queue.loadIncluding(account, weight, costTokens);
     for (;;) {
@@ -248,7 +248,7 @@
     pool: PoolState,
     error: ErrorNumber,
     waitMs: number,
-  ): Extract<Offer, { kind: "refused" }> {
+  ): Extract<AdmissionDecision, { kind: "refused" }> {
     pool.refused += 1;
     const detail = { account: request.account, profile: request.profile };
     const retryAfterMs = this.computeRetryAfterMs(waitMs);
@@ -262,10 +262,12 @@
     return Math.ceil(Math.min(MAXIMUM_RETRY_AFTER_MS, jitteredMs));
   }
 
-  private chargeAccount(request: AdmissionRequest): Offer | undefined {
+  private chargeAccount(
+    request: AdmissionRequest,
+  ): AdmissionDecision | undefined {
     const { account, accountLimit, costTokens } = request;
     if (accountLimit === undefined) return undefined;
-    const waitMs = this.limits.take(account, accountLimit, costTokens);
+    const waitMs = this.limits.charge(account, accountLimit, costTokens);
     if (waitMs === 0) return undefined;
     return this.refuse(request, this.poolOf(request.pool), 1504, waitMs);
   }
--- a/src/admission/agent-limit.ts
+++ b/src/admission/agent-limit.ts
@@ -39,7 +39,7 @@
   }
 
   /** Counts a started attempt; false if it has to be refused. */
-  enter(priority: number, entry: string): boolean {
+  tryAcquire(priority: number, entry: string): boolean {
     if (this.running >= attemptLimit(this.settings, priority)) return false;
     if (priority !== RESERVED_FOR_PRIORITY && this.isOverFairShare(entry)) {
       return false;
@@ -49,7 +49,7 @@
     return true;
   }
 
-  leave(entry: string): void {
+  release(entry: string): void {
     this.running = Math.max(0, this.running - 1);
     const remaining = (this.runningByEntry.get(entry) ?? 0) - 1;
     if (remaining > 0) this.runningByEntry.set(entry, remaining);
--- a/src/admission/min-heap.ts
+++ b/src/admission/min-heap.ts
@@ -20,7 +20,7 @@
     return this.nodes.length;
   }
 
-  get leastKey(): number {
+  get minimumKey(): number {
     return this.nodes.at(0)?.key ?? Number.POSITIVE_INFINITY;
   }
 
--- a/src/admission/output-estimate.ts
+++ b/src/admission/output-estimate.ts
@@ -25,7 +25,7 @@
   }
 
   /** Expected output tokens, at most the caller's own `limit`. */
-  expect(account: string, profile: string, limit?: number): number {
+  estimateTokens(account: string, profile: string, limit?: number): number {
     const mean =
       this.meanTokens.get(keyOf(account, profile)) ?? INITIAL_ESTIMATE_TOKENS;
     return Math.min(mean, limit ?? Number.POSITIVE_INFINITY);
--- a/src/admission/profile-queue.ts
+++ b/src/admission/profile-queue.ts
@@ -93,7 +93,7 @@
       const queue = this.byStartTag.minimum;
       if (queue === undefined) return undefined;
       const waiting = headOf(queue);
-      const tag = this.byStartTag.leastKey;
+      const tag = this.byStartTag.minimumKey;
       const isCurrent = tag === queue.startTag && waiting !== undefined;
       if (isCurrent && queue.account.finishTag <= tag) return { waiting, tag };
       // The heap node is outdated, or its queue is empty, or the account has
--- a/src/admission/retry-allowance.ts
+++ b/src/admission/retry-allowance.ts
@@ -20,7 +20,7 @@
   readonly random: Random;
   readonly emit: Emit;
   /** Capacity of the allowance; `DEFAULT_MAXIMUM_RETRIES` if left out. */
-  readonly mostRetries?: number;
+  readonly maximumRetries?: number;
 }
 
 export class RetryAllowance {
@@ -29,7 +29,7 @@
   private readonly maximumRetries: number;
 
   private constructor(private readonly inputs: RetryInputs) {
-    this.maximumRetries = inputs.mostRetries ?? DEFAULT_MAXIMUM_RETRIES;
+    this.maximumRetries = inputs.maximumRetries ?? DEFAULT_MAXIMUM_RETRIES;
     this.availableRetries = this.maximumRetries;
   }
 
@@ -42,7 +42,7 @@
    * undefined if the request must not be retried. Call it only for requests
    * that may be repeated or that provably weren't started.
    */
-  spend(attemptsMade: number): number | undefined {
+  takeRetry(attemptsMade: number): number | undefined {
     if (attemptsMade >= MAXIMUM_ATTEMPTS) return undefined;
     if (this.availableRetries < 1) {
       this.reportExhausted();
--- a/src/admission/types.ts
+++ b/src/admission/types.ts
@@ -42,7 +42,7 @@
   readonly retryAfterMs: number;
 }
 
-export type Offer =
+export type AdmissionDecision =
   | { readonly kind: "admitted" }
   | { readonly kind: "queued" }
   | ({ readonly kind: "refused" } & Refusal);
@@ -64,7 +64,7 @@
   /** Called as soon as a waiting request is refused, to answer its caller. */
   readonly giveUp: (request: AdmissionRequest, refusal: Refusal) => void;
   /** Number of live entries in the VM list, including this one. */
-  readonly entries: () => number;
+  readonly countLiveEntries: () => number;
   readonly tuning?: Partial<AdmissionTuning>;
 }
 
--- a/src/balance/balancer.ts
+++ b/src/balance/balancer.ts
@@ -14,7 +14,7 @@
   type PlannerLimits,
 } from "./planner.js";
 import { collectTokens, RankSpeeds } from "./rank-reports.js";
-import { expertWork, levelRequests } from "./request-shares.js";
+import { expertWork, distributeRequests } from "./request-shares.js";
 import { rankTimes } from "./step-model.js";
 import type {
   ExpertMap,
@@ -41,7 +41,7 @@
 /** Slower ranks are reported: no map compensates for much more slowness. */
 const SLOW_RANK_THRESHOLD = 0.85;
 
-export interface Decision {
+export interface DecisionInput {
   readonly map: ExpertMap;
   /** The map last decided on isn't in force in all ranks yet. */
   readonly switchPending: boolean;
@@ -121,24 +121,24 @@
    * expert work predicted under the map; placement in the group uses the
    * result.
    */
-  levelledRequests(map: ExpertMap, total: number): Float64Array {
+  balancedRequests(map: ExpertMap, total: number): Float64Array {
     const { speeds } = this.ranks;
     const requestTokens = new Float64Array(this.shape.ranks);
     const { tokens } = this.forecast.predict(0);
     const times = rankTimes(map, tokens, { speeds, requestTokens });
     const expertTokens = expertWork(times, speeds);
-    return levelRequests({ expertTokens, speeds }, total);
+    return distributeRequests({ expertTokens, speeds }, total);
   }
 
   /** Decides whether to move experts, and emits an event with the reason. */
-  decide(decision: Decision): Plan {
+  decide(decision: DecisionInput): Plan {
     const plan = this.planFor(decision);
     if (plan.kind === "move") this.reportMove(plan, decision);
     else this.reportStay(plan.reason, plan.predicted, decision);
     return plan;
   }
 
-  private planFor(decision: Decision): Plan {
+  private planFor(decision: DecisionInput): Plan {
     if (this.forecast.observedWindows < MIN_OBSERVED_WINDOWS) {
       return stay("no-reports");
     }
@@ -156,7 +156,7 @@
     return plan;
   }
 
-  private planInput(decision: Decision): PlanInput {
+  private planInput(decision: DecisionInput): PlanInput {
     return {
       map: decision.map,
       load: this.forecast.predict(FORECAST_LEAD_WINDOWS),
@@ -213,7 +213,7 @@
     this.slowRanks = slow;
   }
 
-  private reportMove(plan: MovePlan, { skewWeight }: Decision): void {
+  private reportMove(plan: MovePlan, { skewWeight }: DecisionInput): void {
     this.emit(181, {
       map: plan.map.version,
       moves: plan.moves.length,
@@ -230,7 +230,7 @@
   private reportStay(
     reason: StayReason,
     { skewBefore }: PlanForecast,
-    { map }: Decision,
+    { map }: DecisionInput,
   ): void {
     const { confidence } = this.planAccuracy;
     this.emit(182, { map: map.version, reason, skew: skewBefore, confidence });
--- a/src/balance/layer-search.ts
+++ b/src/balance/layer-search.ts
@@ -119,7 +119,7 @@
   }
 
   /** Stops further steps from moving experts to the rank until `load`. */
-  close(rank: number): void {
+  closeRank(rank: number): void {
     this.closedRanks[rank] = 1;
   }
 
--- a/src/balance/load-forecast.ts
+++ b/src/balance/load-forecast.ts
@@ -8,8 +8,8 @@
  * Loads are scaled per layer, so that a rise in total traffic isn't mistaken
  * for a shift between experts.
  */
-import { ForecastAccuracy } from "./forecast-record.js";
-import { JumpDetector, type LayerDeviation } from "./jump-watch.js";
+import { ForecastAccuracy } from "./forecast-accuracy.js";
+import { JumpDetector, type LayerDeviation } from "./jump-detector.js";
 import { meanOfKnown } from "./numbers.js";
 import {
   blendForecasts,
--- a/src/balance/planner-thread.ts
+++ b/src/balance/planner-thread.ts
@@ -11,12 +11,12 @@
   type EventFields,
   type EventNumber,
 } from "../internal.js";
-import type { Decision } from "./balancer.js";
+import type { DecisionInput } from "./balancer.js";
 import type { PlannerLimits } from "./planner.js";
 import type { GroupShape, Plan, RankReport } from "./types.js";
 
 /** Rank reports of one window and the inputs of the decision. */
-export interface PlannerWindow extends Decision {
+export interface PlannerWindow extends DecisionInput {
   readonly reports: readonly RankReport[];
 }
 
--- a/src/balance/request-shares.ts
+++ b/src/balance/request-shares.ts
@@ -11,7 +11,10 @@
 }
 
 /** Splits `total` request work over the ranks, in tokens of expert work. */
-export function levelRequests(work: RankWork, total: number): Float64Array {
+export function distributeRequests(
+  work: RankWork,
+  total: number,
+): Float64Array {
   const { expertTokens, speeds } = work;
   const order = Array.from({ length: speeds.length }, (_, rank) => rank).sort(
     (a, b) => expertTokens[a] / speeds[a] - expertTokens[b] / speeds[b],
--- a/src/balance/window-collector.ts
+++ b/src/balance/window-collector.ts
@@ -34,7 +34,7 @@
  * 2,000 steps of 5 ms make windows of ten seconds, which the planner's
  * constants assume. Reports arrive up to half a second late (100 steps).
  */
-export const DEFAULT_WINDOWS: WindowSettings = {
+export const DEFAULT_WINDOW_SETTINGS: WindowSettings = {
   windowSteps: 2000,
   lateSteps: 100,
   minStepShare: 0.25,
@@ -57,7 +57,9 @@
 
   private constructor(private readonly settings: WindowSettings) {}
 
-  static create(settings: WindowSettings = DEFAULT_WINDOWS): WindowCollector {
+  static create(
+    settings: WindowSettings = DEFAULT_WINDOW_SETTINGS,
+  ): WindowCollector {
     return new WindowCollector(settings);
   }
 
--- a/src/claims/attempt-answer.ts
+++ b/src/claims/attempt-answer.ts
@@ -3,7 +3,7 @@
 import type { AttemptAnswer } from "./types.js";
 
 /** An entry's query about one attempt. */
-export interface AttemptQuestion {
+export interface AttemptQuery {
   readonly agentIncarnation: string;
   readonly attempt: string;
   /** Whether an attempt that hasn't started must be prevented from starting. */
@@ -20,9 +20,9 @@
   withdraw(attempt: string, agentIncarnation: string, nowMs: number): boolean;
 }
 
-export function answerAboutAttempt(
+export function answerAttemptQuery(
   registry: AttemptRegistry,
-  { attempt, agentIncarnation, tombstone }: AttemptQuestion,
+  { attempt, agentIncarnation, tombstone }: AttemptQuery,
   nowMs: number,
 ): AttemptAnswer {
   switch (registry.find(attempt, agentIncarnation)) {
--- a/src/claims/coordinator.ts
+++ b/src/claims/coordinator.ts
@@ -9,9 +9,9 @@
  * the same key.
  */
 import type { ErrorNumber, LogRecord } from "../internal.js";
-import { AbandonedClaims } from "./abandoned.js";
+import { AbandonedClaims } from "./abandoned-claims.js";
 import { AppendSchedule } from "./append-schedule.js";
-import { PendingCalls } from "./calls.js";
+import { PendingCalls } from "./pending-calls.js";
 import {
   coordinatorRules,
   type CallState,
--- a/src/daemon/agent/agent-sessions.ts
+++ b/src/daemon/agent/agent-sessions.ts
@@ -9,14 +9,14 @@
 } from "@grpc/grpc-js";
 import {
   AgentGate,
-  answerAboutAttempt,
+  answerAttemptQuery,
   createDeferred,
   priorityLimit,
   unreachable,
   type AgentEffect,
   type AgentStatus,
   type AttemptAnswer,
-  type AttemptQuestion,
+  type AttemptQuery,
   type LoadReport,
 } from "../../internal.js";
 import {
@@ -108,8 +108,8 @@
   };
 
   /** Tells an entry that repeats a call what became of the earlier attempt. */
-  askAttempt(question: AttemptQuestion): AttemptAnswer {
-    return answerAboutAttempt(this.gate, question, performance.now());
+  askAttempt(query: AttemptQuery): AttemptAnswer {
+    return answerAttemptQuery(this.gate, query, performance.now());
   }
 
   get runningCount(): number {
--- a/src/daemon/agent/agent.ts
+++ b/src/daemon/agent/agent.ts
@@ -135,8 +135,8 @@
     const { server } = this.core;
     const { context, sessions, expertMaps, balance } = this;
     server.addService(AgentService, sessions.service);
-    const claims = createClaimService(context, (question) =>
-      sessions.askAttempt(question),
+    const claims = createClaimService(context, (query) =>
+      sessions.askAttempt(query),
     );
     server.addService(ClaimsService, claims);
     if (expertMaps === undefined) return;
@@ -159,8 +159,8 @@
             signal,
           ),
       },
-      { name: "orders-log", run: (signal) => orders.follow(signal) },
-      { name: "orders", run: (signal) => orders.give(signal) },
+      { name: "orders-log", run: (signal) => orders.followLog(signal) },
+      { name: "orders", run: (signal) => orders.executeOrders(signal) },
     ];
   }
 
--- a/src/daemon/agent/claim-service.ts
+++ b/src/daemon/agent/claim-service.ts
@@ -2,7 +2,7 @@
  * Tells entries that repeat a call the state of the attempt holding its claim.
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
-import type { AttemptAnswer, AttemptQuestion } from "../../internal.js";
+import type { AttemptAnswer, AttemptQuery } from "../../internal.js";
 import {
   AttemptKnowledge,
   type AskAttemptReply,
@@ -13,7 +13,7 @@
 
 export function createClaimService(
   context: ProcessContext,
-  answer: (question: AttemptQuestion) => AttemptAnswer,
+  answer: (query: AttemptQuery) => AttemptAnswer,
 ): ClaimsServer {
   return {
     askAttempt: (
@@ -23,8 +23,8 @@
       const { clock, attempt, agentIncarnation } = request;
       context.clock.observe(clock);
       const tombstone = request.withdraw;
-      const question = { attempt, agentIncarnation, tombstone };
-      const knowledge = knowledgeByAnswer[answer(question).kind];
+      const query = { attempt, agentIncarnation, tombstone };
+      const knowledge = knowledgeByAnswer[answer(query).kind];
       reply(null, { clock: context.clock.read(), knowledge });
     },
   };
--- a/src/daemon/balance/expert-balance.ts
+++ b/src/daemon/balance/expert-balance.ts
@@ -6,7 +6,7 @@
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import {
-  DEFAULT_WINDOWS,
+  DEFAULT_WINDOW_SETTINGS,
   PlannerThread,
   toFailure,
   WindowAssembly,
@@ -67,7 +67,7 @@
     this.reportClient = ReportClient.create(context, settings.transport);
     const { windowSteps } = settings.limits;
     this.collector = WindowCollector.create({
-      ...DEFAULT_WINDOWS,
+      ...DEFAULT_WINDOW_SETTINGS,
       windowSteps,
     });
   }
--- a/src/daemon/configuration/follower.ts
+++ b/src/daemon/configuration/follower.ts
@@ -113,7 +113,7 @@
   }
 
   /** Sends heartbeats to the followers until the signal aborts. */
-  async beat(signal: AbortSignal): Promise<void> {
+  async sendHeartbeats(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.feed.sendHeartbeat();
       await pause(FEED_HEARTBEAT_INTERVAL_MS, signal);
@@ -143,7 +143,7 @@
   }
 
   /** Replaces the VM list until it is next read from the platform. */
-  useList(vms: readonly Vm[]): void {
+  setVms(vms: readonly Vm[]): void {
     this.vms = vms;
     this.vmsReadAtMs = Date.now();
   }
@@ -152,7 +152,7 @@
     if (Date.now() - this.vmsReadAtMs < VM_LIST_MAX_AGE_MS) return;
     this.vmsReadAtMs = Date.now();
     try {
-      this.useList(await readVmList(this.options.vmList, this.vmListFindings));
+      this.setVms(await readVmList(this.options.vmList, this.vmListFindings));
     } catch {
       // The previous list stays in use, and the log is always the fallback.
     }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -8,7 +8,7 @@
 import { ConfigurationFeedService } from "../wire/generated/configuration.js";
 import { runTask } from "./background-task.js";
 import { ConfigurationFollower } from "./configuration/follower.js";
-import type { Listening } from "./listening.js";
+import type { ListeningServer } from "./listening.js";
 import { startOperatorsServer } from "./operators-server.js";
 import { bindServer } from "./peer-server.js";
 import type { ProcessContext } from "./process-context.js";
@@ -51,7 +51,7 @@
   leaving = false;
   private readonly stopController = new AbortController();
   private peerAddress = "";
-  private operatorsServer: Listening | undefined;
+  private operatorsServer: ListeningServer | undefined;
 
   private constructor(private readonly options: DaemonCoreOptions) {
     const { settings, context } = options;
@@ -131,7 +131,7 @@
       { name: "configuration", run: (signal) => configuration.run(signal) },
       {
         name: "configuration-feed",
-        run: (signal) => configuration.beat(signal),
+        run: (signal) => configuration.sendHeartbeats(signal),
       },
       {
         name: "checkpoints",
--- a/src/daemon/entry/answer-framing.ts
+++ b/src/daemon/entry/answer-framing.ts
@@ -9,7 +9,7 @@
 import type { Socket } from "node:net";
 
 /** Delimits the body by connection close; call before the head is written. */
-export function endWithConnection(response: ServerResponse): void {
+export function delimitByConnectionClose(response: ServerResponse): void {
   response.removeHeader("transfer-encoding");
   response.removeHeader("content-length");
   response.setHeader("connection", "close");
--- a/src/daemon/entry/answer-writer.ts
+++ b/src/daemon/entry/answer-writer.ts
@@ -7,7 +7,7 @@
 import type { ApricotdeckError } from "../../internal.js";
 import type { Header } from "../../wire/generated/session.js";
 import type { CallerLimits } from "./request-reader.js";
-import { breakOff, endWithConnection } from "./answer-framing.js";
+import { breakOff, delimitByConnectionClose } from "./answer-framing.js";
 import type { AnswerWriter } from "./caller-request.js";
 
 export const OUTCOME_HEADER = "apricotdeck-outcome";
@@ -125,7 +125,7 @@
         return;
       }
       if (!response.headersSent) {
-        if (!isEndMarked) endWithConnection(response);
+        if (!isEndMarked) delimitByConnectionClose(response);
         response.writeHead(status);
       }
       for (const part of parts) response.write(part);
@@ -151,7 +151,7 @@
       }
       const body = Buffer.concat(parts);
       if (isEndConfirmed) response.setHeader("content-length", body.length);
-      else endWithConnection(response);
+      else delimitByConnectionClose(response);
       response.setHeader(
         OUTCOME_HEADER,
         isEndConfirmed ? "answered" : "unmarked",
@@ -197,7 +197,7 @@
   response: ServerResponse,
   head: ResponseHead | undefined,
 ): void {
-  if (head?.isEndMarked !== true) endWithConnection(response);
+  if (head?.isEndMarked !== true) delimitByConnectionClose(response);
   for (const { name, value } of head?.headers ?? []) {
     response.setHeader(name, value);
   }
--- a/src/daemon/entry/claimed-placement.ts
+++ b/src/daemon/entry/claimed-placement.ts
@@ -79,7 +79,7 @@
   return {
     place: (previous) => {
       if (previous === undefined || isAttached) beginClaim();
-      else if (previous.provedNotRun) claims.onRefused(id);
+      else if (previous.isProvenNotRun) claims.onRefused(id);
       else refuse(1308);
     },
     end: () => {
--- a/src/daemon/entry/entry.ts
+++ b/src/daemon/entry/entry.ts
@@ -1,7 +1,7 @@
 /** The entry daemon, which serves callers and dispatches to agents. */
 import { pause } from "../background-task.js";
 import { DaemonCore, type Daemon, type DaemonAddresses } from "../daemon.js";
-import { listen, type Listening } from "../listening.js";
+import { listen, type ListeningServer } from "../listening.js";
 import { createContext, type ProcessContext } from "../process-context.js";
 import type { EntrySettings } from "../settings.js";
 import { BackendDirectory } from "./backend-directory.js";
@@ -30,7 +30,7 @@
   private readonly directory: BackendDirectory;
   private readonly claims: ClaimTasks;
   private readonly dispatcher: RequestDispatcher;
-  private callerListener!: Listening;
+  private callerListener!: ListeningServer;
 
   private constructor(
     private readonly settings: EntrySettings,
--- a/src/daemon/entry/open-request.ts
+++ b/src/daemon/entry/open-request.ts
@@ -3,7 +3,7 @@
   AdmissionRequest,
   ClientAccount,
   OutputEstimate,
-  Placed,
+  PlacedRequest,
 } from "../../internal.js";
 import type { EntrySettings } from "../settings.js";
 import { poolOfProfile } from "./pools.js";
@@ -21,7 +21,7 @@
   excluded: readonly string[];
   attempts: number;
   retryDelayMs: number;
-  placedRequest: Placed | undefined;
+  placedRequest: PlacedRequest | undefined;
   /** The request has left the queue and hasn't finished. */
   isRunning: boolean;
   sentAtMs: number;
@@ -40,7 +40,7 @@
     ? Math.ceil(prompt.length / CHARACTERS_PER_TOKEN)
     : costTokens;
   const limit = costTokens - promptTokens;
-  const output = outputs.expect(
+  const output = outputs.estimateTokens(
     callerRequest.account,
     callerRequest.profile.name,
     limit,
--- a/src/daemon/entry/request-dispatcher.ts
+++ b/src/daemon/entry/request-dispatcher.ts
@@ -12,7 +12,7 @@
   isAnswer,
   type AdmissionRequest,
   type Call,
-  type Choice,
+  type PlacementChoice,
   type Configuration,
   type PlacementRequest,
   type Refusal,
@@ -80,7 +80,7 @@
       now,
       random,
       emit,
-      entries: () => directory.entryCount,
+      countLiveEntries: () => directory.entryCount,
       start: (request) => this.start(request),
       giveUp: ({ id }, refusal) => {
         this.refuse(id, refusal);
@@ -126,7 +126,7 @@
   mayRetry(call: Call): boolean {
     const openRequest = this.openRequests.get(call.request);
     if (openRequest === undefined) return false;
-    const delayMs = this.retryAllowanceOf(openRequest.admission.pool).spend(
+    const delayMs = this.retryAllowanceOf(openRequest.admission.pool).takeRetry(
       openRequest.attempts,
     );
     openRequest.retryDelayMs = delayMs ?? 0;
@@ -174,7 +174,7 @@
     }
   }
 
-  private chooseRunner(request: PlacementRequest): Choice | undefined {
+  private chooseRunner(request: PlacementRequest): PlacementChoice | undefined {
     const chosen = this.placement.choose(request);
     if (chosen.isRight()) return chosen.unsafeCoerce();
     // Sessions may have opened since the last sync.
@@ -199,7 +199,7 @@
   private onDispatched(
     openRequest: OpenRequest,
     request: PlacementRequest,
-    choice: Choice,
+    choice: PlacementChoice,
   ): void {
     const placedRequest = { request, choice };
     openRequest.placedRequest = placedRequest;
@@ -230,7 +230,7 @@
 
   private requeue(openRequest: OpenRequest): void {
     openRequest.isRunning = false;
-    this.admission.putBack(openRequest.admission);
+    this.admission.requeue(openRequest.admission);
     this.admission.drain(openRequest.admission.pool);
   }
 
--- a/src/daemon/entry/sessions.ts
+++ b/src/daemon/entry/sessions.ts
@@ -9,7 +9,7 @@
   type ApricotdeckError,
   type Call,
   type DispatchOptions,
-  type Dispatched,
+  type DispatchResult,
   type EntryEffect,
   type EntryStatus,
   type ErrorNumber,
@@ -142,7 +142,7 @@
     request: string,
     runner: string,
     options: DispatchOptions = {},
-  ): Dispatched {
+  ): DispatchResult {
     const now = performance.now();
     const dispatched = this.machine.dispatch(request, runner, now, options);
     const runnerState = this.runners.get(runner);
@@ -286,7 +286,7 @@
       const reply = await closeSession(
         { context, transport, address },
         session,
-        SESSION_LIMITS.closeAgainMs,
+        SESSION_LIMITS.closeRetryMs,
       );
       this.machine.closeAnswered(name, number, reply, performance.now());
     } catch {
--- a/src/daemon/expert-map/engine-client.ts
+++ b/src/daemon/expert-map/engine-client.ts
@@ -9,7 +9,7 @@
   type OrderAnswer,
   type OrderCall,
   type StepReport,
-  type WeightName,
+  type ExpertWeightId,
 } from "../../internal.js";
 import { plainMap } from "./wire.js";
 
@@ -135,7 +135,7 @@
 
   /** Uploads part of an expert's weights; returns how many bytes the engine holds. */
   async putWeight(
-    { rank, layer, expert }: WeightName,
+    { rank, layer, expert }: ExpertWeightId,
     offset: number,
     data: Buffer,
   ): Promise<number> {
--- a/src/daemon/expert-map/group-membership.ts
+++ b/src/daemon/expert-map/group-membership.ts
@@ -4,7 +4,7 @@
  */
 import {
   chooseMembers,
-  type Candidate,
+  type MemberCandidate,
   type GroupMember,
 } from "../../internal.js";
 import { readVmList, type Vm } from "../../platform/vm-list-client.js";
@@ -60,7 +60,7 @@
     }
   }
 
-  private toCandidates(vm: Vm): readonly Candidate[] {
+  private toCandidates(vm: Vm): readonly MemberCandidate[] {
     const { own } = this.options;
     const isOwn = vm.name === own.member;
     const ranks = isOwn ? own.ranks : this.ranksByVm.get(vmKey(vm));
--- a/src/daemon/expert-map/map-metrics.ts
+++ b/src/daemon/expert-map/map-metrics.ts
@@ -3,7 +3,7 @@
   ApricotdeckError,
   type EngineMapState,
   type Measurements,
-  type ProposalEnd,
+  type ProposalResult,
 } from "../../internal.js";
 
 export class MapMetrics {
@@ -16,7 +16,7 @@
     return new MapMetrics(measurements);
   }
 
-  observeProposalEnd(end: ProposalEnd, durationMs: number): void {
+  observeProposalEnd(end: ProposalResult, durationMs: number): void {
     const label = end instanceof ApricotdeckError ? end.entry.name : end;
     this.measurements.count("mapProposals", { end: label });
     this.measurements.observe("mapSwitchDuration", durationMs / 1000);
--- a/src/daemon/expert-map/map-task.ts
+++ b/src/daemon/expert-map/map-task.ts
@@ -18,7 +18,7 @@
   type GroupMember,
   type MapEffect,
   type MapMessage,
-  type ProposalEnd,
+  type ProposalResult,
   type ProposalOutcome,
   type Random,
   type StepReport,
@@ -49,7 +49,7 @@
 }
 
 interface PendingProposal {
-  readonly outcome: Deferred<ProposalEnd>;
+  readonly outcome: Deferred<ProposalResult>;
   readonly startedAtMs: number;
 }
 
@@ -118,7 +118,7 @@
     result.ifLeft((error) => {
       throw error;
     });
-    const deferred = createDeferred<ProposalEnd>();
+    const deferred = createDeferred<ProposalResult>();
     this.pendingProposal = { outcome: deferred, startedAtMs };
     const outcome = await deferred.promise;
     if (outcome instanceof ApricotdeckError) throw outcome;
@@ -210,7 +210,7 @@
     }
   }
 
-  private settleProposal(end: ProposalEnd, mapHash: string): void {
+  private settleProposal(end: ProposalResult, mapHash: string): void {
     const { pendingProposal: pending, options } = this;
     if (pending === undefined) return;
     this.pendingProposal = undefined;
--- a/src/daemon/listening.ts
+++ b/src/daemon/listening.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import type { ListenSettings } from "./settings.js";
 
-export interface Listening extends AsyncDisposable {
+export interface ListeningServer extends AsyncDisposable {
   /** host:port, with the port that the system assigned. */
   readonly address: string;
   /** Stops accepting connections; open ones stay open while in use. */
@@ -13,7 +13,7 @@
 export async function listen(
   server: Server,
   { host, port }: ListenSettings,
-): Promise<Listening> {
+): Promise<ListeningServer> {
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
     server.listen(port, host, resolve);
--- a/src/daemon/operators-server.ts
+++ b/src/daemon/operators-server.ts
@@ -10,7 +10,7 @@
 import { Registry, collectDefaultMetrics } from "prom-client";
 import type { EventLog } from "./event-log.js";
 import type { ListenSettings } from "./settings.js";
-import { listen, type Listening } from "./listening.js";
+import { listen, type ListeningServer } from "./listening.js";
 
 export interface OperatorsSource {
   readonly events: EventLog;
@@ -60,7 +60,7 @@
 export async function startOperatorsServer(
   settings: ListenSettings,
   source: OperatorsSource,
-): Promise<Listening> {
+): Promise<ListeningServer> {
   collectDefaultMetrics({ register: source.metrics });
   const server = createServer((request, response) => {
     void handleRequest(request, response, source);
@@ -86,7 +86,7 @@
 export async function startMetricsServer(
   settings: ListenSettings,
   metrics: Registry,
-): Promise<Listening> {
+): Promise<ListeningServer> {
   collectDefaultMetrics({ register: metrics });
   const server = createServer((request, response) => {
     if (request.url === METRICS_PATH) void sendMetrics(response, metrics);
--- a/src/daemon/orders/order-task.ts
+++ b/src/daemon/orders/order-task.ts
@@ -8,7 +8,7 @@
   applyLeaseRecord,
   failure,
   noLease,
-  OrderDesk,
+  OrderExecutor,
   toFailure,
   type EngineOrderSettings,
   type Lease,
@@ -67,7 +67,7 @@
 }
 
 export class OrderTask {
-  private readonly executor: OrderDesk;
+  private readonly executor: OrderExecutor;
   private readonly newestOrders = new Map<OrderKind, Order>();
   private readonly settledFencingTokens = new Map<OrderKind, number>();
   private lease: Lease = noLease;
@@ -76,7 +76,7 @@
 
   private constructor(private readonly options: OrderTaskOptions) {
     const { settings, context } = options;
-    this.executor = OrderDesk.create(settings, context.emit, Date.now());
+    this.executor = OrderExecutor.create(settings, context.emit, Date.now());
   }
 
   static create(options: OrderTaskOptions): OrderTask {
@@ -92,7 +92,7 @@
    * Reads the log; throws 1901 in an outage, after which the caller restarts
    * it.
    */
-  async follow(signal: AbortSignal): Promise<void> {
+  async followLog(signal: AbortSignal): Promise<void> {
     let isAtEnd = false;
     while (!signal.aborted) {
       isAtEnd = await this.readPage(isAtEnd ? LONG_POLL_MS : 0, signal);
@@ -100,17 +100,17 @@
   }
 
   /** Executes orders until the signal aborts. */
-  async give(signal: AbortSignal): Promise<void> {
+  async executeOrders(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const now = Date.now();
       this.perform(this.executor.tick(now));
       const order = this.nextOrder();
       if (
         order !== undefined &&
-        this.executor.idle &&
+        this.executor.isIdle &&
         now >= this.nextAttemptAtMs
       ) {
-        this.perform(this.executor.take(order, now));
+        this.perform(this.executor.submit(order, now));
       }
       await pause(TICK_MS, signal);
     }
@@ -129,7 +129,7 @@
       for (const { offset, data } of page.records)
         this.applyRecord(offset, data);
       if (this.readOffset < page.nextOffset) return false;
-      this.executor.learn([...this.newestOrders.values()]);
+      this.executor.onOrdersRead([...this.newestOrders.values()]);
       return true;
     } catch (thrown) {
       const error = toFailure(thrown, 1901);
@@ -196,9 +196,9 @@
     const timeoutMs = Math.max(MINIMUM_TIMEOUT_MS, settings.effectMs);
     try {
       const answer = await engine.order(call, timeoutMs);
-      this.perform(this.executor.answered(answer, Date.now()));
+      this.perform(this.executor.onAnswer(answer, Date.now()));
     } catch {
-      this.perform(this.executor.failed(Date.now()));
+      this.perform(this.executor.onCallFailed(Date.now()));
     }
   }
 }
--- a/src/daemon/session-frames.ts
+++ b/src/daemon/session-frames.ts
@@ -79,7 +79,7 @@
       return { $case: "head", value: { ...value, endMarked } };
     }
     case "end": {
-      const { isVouched: vouched, ...value } = frame;
+      const { isEndMarked: vouched, ...value } = frame;
       return { $case: "end", value: { ...value, vouched } };
     }
     case "refused":
@@ -117,8 +117,8 @@
       return { kind: "head", ...value, isEndMarked };
     }
     case "end": {
-      const { vouched: isVouched, ...value } = body.value;
-      return { kind: "end", ...value, isVouched };
+      const { vouched: isEndMarked, ...value } = body.value;
+      return { kind: "end", ...value, isEndMarked };
     }
     case "refused":
       return {
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -5,7 +5,7 @@
  * mistyped name.
  */
 import { z } from "zod";
-import { DEFAULT_WINDOWS } from "../internal.js";
+import { DEFAULT_WINDOW_SETTINGS } from "../internal.js";
 import { parseSettingsText, readSettingsText } from "./settings-file.js";
 
 const MIB = 1024 * 1024;
@@ -195,7 +195,7 @@
         windowSteps: z
           .int()
           .min(10)
-          .default(DEFAULT_WINDOWS.windowSteps)
+          .default(DEFAULT_WINDOW_SETTINGS.windowSteps)
           .describe("Steps of one window of the balance of experts."),
       })
       .readonly()
--- a/src/direct/caller-listener.ts
+++ b/src/direct/caller-listener.ts
@@ -20,7 +20,7 @@
 import { chooseService, type RouteTable } from "../routing/route-table.js";
 import type { CallerBounds, Route } from "../routing/types.js";
 import { endToEndHeaders } from "./end-to-end-headers.js";
-import type { Call, CallFields, HeaderCodec } from "./types.js";
+import type { DirectCall, CallFields, HeaderCodec } from "./types.js";
 
 export interface CallerListenerOptions {
   readonly codec: HeaderCodec;
@@ -34,7 +34,7 @@
   readonly isLeaving: () => boolean;
   /** Whether new requests are refused. */
   readonly isClosed: () => boolean;
-  readonly serve: (call: Call, response: ServerResponse) => Promise<void>;
+  readonly serve: (call: DirectCall, response: ServerResponse) => Promise<void>;
   readonly fail: (
     response: ServerResponse,
     error: ApricotdeckError,
@@ -108,7 +108,7 @@
   request: IncomingMessage,
   options: CallerListenerOptions,
   arrivedAtMs: number,
-): Promise<Call> {
+): Promise<DirectCall> {
   const routes = options.routes();
   if (routes === undefined) return raise(1103);
   const { bounds } = routes.configuration;
@@ -125,7 +125,7 @@
   body: Buffer,
   options: CallerListenerOptions,
   arrivedAtMs: number,
-): Call {
+): DirectCall {
   const routes = options.routes() ?? raise(1103);
   const target = request.url ?? "/";
   const path = target.split("?", 1).at(0) ?? "/";
--- a/src/direct/crash-tracker.ts
+++ b/src/direct/crash-tracker.ts
@@ -4,8 +4,8 @@
  */
 import type { BackendServer } from "../membership/types.js";
 import { digestOf } from "../suspects/request-digest.js";
-import type { SuspectDesk } from "../suspects/suspect-desk.js";
-import type { AttemptEnd, Call } from "./types.js";
+import type { SuspectTracker } from "../suspects/suspect-tracker.js";
+import type { AttemptEnd, DirectCall } from "./types.js";
 
 /**
  * A request that crashes its runner does so when it starts to run. A request
@@ -19,11 +19,11 @@
   private firstEventAtMs: number | undefined;
 
   private constructor(
-    private readonly suspects: SuspectDesk,
-    private readonly call: Call,
+    private readonly suspects: SuspectTracker,
+    private readonly call: DirectCall,
   ) {}
 
-  static create(suspects: SuspectDesk, call: Call): CrashTracker {
+  static create(suspects: SuspectTracker, call: DirectCall): CrashTracker {
     return new CrashTracker(suspects, call);
   }
 
--- a/src/direct/entry-topics.ts
+++ b/src/direct/entry-topics.ts
@@ -49,7 +49,7 @@
    * Time since which the store has been available, monotonic, ms. Initially the
    * start of this entry, because servers may be registering again at that time.
    */
-  private storeReturnedAtMs = performance.now();
+  private storeAvailableSinceMs = performance.now();
 
   private constructor(
     private readonly options: EntryTopicsOptions,
@@ -105,17 +105,17 @@
       intervalMs: () =>
         registerIntervalMs(
           this.options.drainMs,
-          performance.now() - this.storeReturnedAtMs,
+          performance.now() - this.storeAvailableSinceMs,
         ),
       onSnapshot,
       onChanges,
       onReturned: (lastBeforeMs) => {
-        this.storeReturnedAtMs = performance.now();
+        this.storeAvailableSinceMs = performance.now();
         onReturned(lastBeforeMs);
       },
       onLost,
       onRestored: (lastFailedAtMs) => {
-        this.storeReturnedAtMs = performance.now();
+        this.storeAvailableSinceMs = performance.now();
         onRestored(lastFailedAtMs);
       },
     });
--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -10,7 +10,7 @@
 import { RESET_DELAY_MS, breakOff } from "../daemon/entry/answer-framing.js";
 import { pause } from "../daemon/background-task.js";
 import { EventLog } from "../daemon/event-log.js";
-import { listen, type Listening } from "../daemon/listening.js";
+import { listen, type ListeningServer } from "../daemon/listening.js";
 import { registerMetrics } from "../daemon/metrics-registry.js";
 import { startMetricsServer } from "../daemon/operators-server.js";
 import { HybridClock, type Emit, type Measurements } from "../internal.js";
@@ -26,9 +26,9 @@
   RunnerGroups,
   readGroupNotes,
 } from "../membership/runner-groups.js";
-import type { After, RegisterChange } from "../membership/types.js";
-import { SuspectDesk } from "../suspects/suspect-desk.js";
-import { SUSPECTS_STREAM } from "../suspects/suspect-notes.js";
+import type { ScheduleAfter, RegisterChange } from "../membership/types.js";
+import { SuspectTracker } from "../suspects/suspect-tracker.js";
+import { SUSPECTS_STREAM } from "../suspects/suspect-sync.js";
 import type {
   KeyedRecord,
   KeyedTopic,
@@ -115,7 +115,7 @@
   private readonly findings: RecordFindings;
   private readonly registerReader: RegisterReader;
   private readonly directory: BackendServerDirectory;
-  private readonly suspects: SuspectDesk;
+  private readonly suspects: SuspectTracker;
   private readonly forwarder: Forwarder;
   private readonly stopController = new AbortController();
   private readonly server;
@@ -127,7 +127,7 @@
   private readonly openResponses = new Set<ServerResponse>();
   private readonly timers = new Set<NodeJS.Timeout>();
   private graceSeconds: number;
-  private listening: Listening[] = [];
+  private listeningServers: ListeningServer[] = [];
 
   private constructor(private readonly options: DirectEntryOptions) {
     const { settings, codec } = options;
@@ -143,10 +143,10 @@
     options.era.onRise((era) => {
       emit(196, { era });
       measurements.set("storeEra", era);
-      this.suspects.onStoreReturned();
+      this.suspects.onStoreRolledBack();
     });
     const now = (): number => performance.now();
-    const after: After = (delayMs, action) => {
+    const after: ScheduleAfter = (delayMs, action) => {
       this.schedule(delayMs, action);
     };
     const random = Math.random;
@@ -169,7 +169,7 @@
       lateServices: () => scheduler.lateServices(),
       slownessOf: options.slownessOf,
       onPaceNote: (note) => {
-        slowRunners.take(note);
+        slowRunners.apply(note);
       },
     });
     const findings = RecordFindings.create({ emit, measurements });
@@ -182,22 +182,22 @@
       now,
       after,
       emit,
-      isServiceNamed: (service) => this.routes?.namesService(service) ?? false,
-      onServer: (server) => {
+      isServiceNamed: (service) => this.routes?.hasService(service) ?? false,
+      onServerAvailable: (server) => {
         scheduler.setServer(server);
         measurements.set("runnersKnown", this.runnerCount);
       },
-      onGone: (id) => {
+      onServerUnavailable: (id) => {
         scheduler.removeServer(id);
         measurements.set("runnersKnown", this.runnerCount);
       },
-      onEnded: (earlier, later) => {
+      onServerReplaced: (earlier, later) => {
         scheduler.endIncarnation(earlier, later);
         slowRunners.forget(earlier);
         this.suspects.crashes.onCrashed(earlier.id);
       },
     });
-    this.suspects = SuspectDesk.create({
+    this.suspects = SuspectTracker.create({
       name,
       notes: options.suspectNotes,
       findings,
@@ -248,11 +248,11 @@
    * port 0.
    */
   get addresses(): EntryAddresses {
-    const [callers, readiness, metrics] = this.listening;
+    const [callers, readiness, metrics] = this.listeningServers;
     return {
       callers: callers.address,
       readiness: readiness.address,
-      metrics: (metrics as Listening | undefined)?.address,
+      metrics: (metrics as ListeningServer | undefined)?.address,
     };
   }
 
@@ -304,7 +304,9 @@
     await this.breakOffOpenResponses();
     this.slowRunnerProbe[Symbol.dispose]();
     await Promise.all(
-      this.listening.map((listening) => listening[Symbol.asyncDispose]()),
+      this.listeningServers.map((listening) =>
+        listening[Symbol.asyncDispose](),
+      ),
     );
     await this.scheduler.close();
     await this.events.close();
@@ -323,13 +325,15 @@
 
   private async start(): Promise<void> {
     const { settings } = this.options;
-    this.listening = await Promise.all([
+    this.listeningServers = await Promise.all([
       listen(this.server, hostPortOf(settings.callers)),
       listen(this.readinessServer(), hostPortOf(settings.readiness)),
     ]);
     if (settings.metrics !== undefined) {
       const metrics = hostPortOf(settings.metrics);
-      this.listening.push(await startMetricsServer(metrics, this.registry));
+      this.listeningServers.push(
+        await startMetricsServer(metrics, this.registry),
+      );
     }
     this.followTopics();
     this.emit(101, {
@@ -381,7 +385,7 @@
       this.onGroupNotes(records);
     });
     topics.followNotes(SUSPECTS_STREAM, options.suspects, (records) => {
-      this.suspects.take(records);
+      this.suspects.apply(records);
     });
     topics.followRegister(
       options.register,
@@ -394,7 +398,7 @@
       },
       {
         onReturned: (lastBeforeMs) => {
-          directory.onStoreReturned(lastBeforeMs);
+          directory.onStoreRolledBack(lastBeforeMs);
         },
         onLost: () => {
           directory.onStoreLost();
@@ -439,12 +443,12 @@
 
   private onPaceNotes(records: readonly KeyedRecord[]): void {
     const notes = readPaceNotes(records, this.findings);
-    for (const note of notes) this.slowRunners.take(note);
+    for (const note of notes) this.slowRunners.apply(note);
   }
 
   private onGroupNotes(records: readonly KeyedRecord[]): void {
     for (const note of readGroupNotes(records, this.findings)) {
-      if (!this.runnerGroups.take(note)) continue;
+      if (!this.runnerGroups.apply(note)) continue;
       const { name: group, epoch, addresses } = note;
       this.emit(234, { group, epoch, ranks: addresses.length });
       this.scheduler.onGroupFormed(group);
--- a/src/direct/event-relay.ts
+++ b/src/direct/event-relay.ts
@@ -5,7 +5,7 @@
  * continues the stream, the head of the first one stays.
  */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
-import { endWithConnection } from "../daemon/entry/answer-framing.js";
+import { delimitByConnectionClose } from "../daemon/entry/answer-framing.js";
 import type { FlowControl, StreamSink } from "./attempt.js";
 import { endToEndResponseHeaders } from "./end-to-end-headers.js";
 import { EventSplitter } from "./event-splitter.js";
@@ -115,7 +115,7 @@
     const { response } = this.options;
     if (response.headersSent || this.head === undefined) return;
     const { status, headers } = this.head;
-    if (this.endsWithConnection) endWithConnection(response);
+    if (this.endsWithConnection) delimitByConnectionClose(response);
     response.writeHead(status, endToEndResponseHeaders(headers));
   }
 }
--- a/src/direct/forwarder.ts
+++ b/src/direct/forwarder.ts
@@ -10,8 +10,11 @@
   type ErrorNumber,
   type Measurements,
 } from "../internal.js";
-import type { SuspectDesk } from "../suspects/suspect-desk.js";
-import { breakOff, endWithConnection } from "../daemon/entry/answer-framing.js";
+import type { SuspectTracker } from "../suspects/suspect-tracker.js";
+import {
+  breakOff,
+  delimitByConnectionClose,
+} from "../daemon/entry/answer-framing.js";
 import { Attempt } from "./attempt.js";
 import { endToEndResponseHeaders } from "./end-to-end-headers.js";
 import { EventRelay } from "./event-relay.js";
@@ -27,7 +30,7 @@
 import { CrashTracker } from "./crash-tracker.js";
 import type {
   AttemptEnd,
-  Call,
+  DirectCall,
   EndMark,
   GiveUpReason,
   HeaderCodec,
@@ -38,7 +41,7 @@
   readonly codec: HeaderCodec;
   readonly emit: Emit;
   readonly measurements: Measurements;
-  readonly suspects: SuspectDesk;
+  readonly suspects: SuspectTracker;
   /** Sends an error response for a request that no runner has answered. */
   readonly fail: (
     response: ServerResponse,
@@ -82,7 +85,7 @@
     return new Forwarder(options);
   }
 
-  async serve(call: Call, response: ServerResponse): Promise<void> {
+  async serve(call: DirectCall, response: ServerResponse): Promise<void> {
     await RequestForwarding.create(this.options, call, response).run();
   }
 }
@@ -104,7 +107,7 @@
 
   private constructor(
     private readonly options: ForwarderOptions,
-    private readonly call: Call,
+    private readonly call: DirectCall,
     private readonly response: ServerResponse,
   ) {
     const { route, fields } = call;
@@ -134,7 +137,7 @@
 
   static create(
     options: ForwarderOptions,
-    call: Call,
+    call: DirectCall,
     response: ServerResponse,
   ): RequestForwarding {
     return new RequestForwarding(options, call, response);
@@ -282,8 +285,11 @@
     const headers = options.codec.forward(call.headers, {
       runner: runner.server.id,
       account: call.account,
-      leftMs: Math.max(1, Math.floor(call.deadlineAtMs - performance.now())),
-      resumeAfter: resumeAfter === 0 ? undefined : resumeAfter,
+      remainingMs: Math.max(
+        1,
+        Math.floor(call.deadlineAtMs - performance.now()),
+      ),
+      resumeAfterEventId: resumeAfter === 0 ? undefined : resumeAfter,
     });
     const attempt = Attempt.create({
       connections: runner.connections,
@@ -365,7 +371,7 @@
       mayHaveRun: this.mayHaveRun,
       tryTakeRetry: () =>
         !this.crashTracker.isWithheld &&
-        this.options.scheduler.retriesOf(service).spend(1) !== undefined,
+        this.options.scheduler.retriesOf(service).takeRetry(1) !== undefined,
     };
   }
 
@@ -421,7 +427,7 @@
     if (end.kind !== "answered" || this.response.destroyed) return;
     const { status, headers, body, endMark } = end.answer;
     const { response } = this;
-    if (endMark === "connection") endWithConnection(response);
+    if (endMark === "connection") delimitByConnectionClose(response);
     else response.setHeader("content-length", body.length);
     response.writeHead(status, endToEndResponseHeaders(headers));
     response.end(body);
--- a/src/direct/port-state.ts
+++ b/src/direct/port-state.ts
@@ -2,7 +2,7 @@
  * Checks with a separate connection whether a process listens at an address.
  */
 import { connect } from "node:net";
-import type { PortState } from "../suspects/crash-watch.js";
+import type { PortState } from "../suspects/crash-detector.js";
 import { hostPortOf } from "./settings.js";
 
 /** Connection timeout, ms. It is short because a caller is waiting. */
--- a/src/direct/request-scheduler.ts
+++ b/src/direct/request-scheduler.ts
@@ -27,7 +27,7 @@
   type RunnerVerdict,
 } from "./runner-pool.js";
 import { ServiceGroups, type GroupOf } from "./service-groups.js";
-import type { Call } from "./types.js";
+import type { DirectCall } from "./types.js";
 
 export interface RequestSchedulerInputs {
   readonly now: Now;
@@ -118,7 +118,7 @@
       now,
       random,
       emit,
-      entries: () => 1,
+      countLiveEntries: () => 1,
       start: (request) => this.start(request),
       giveUp: ({ id }, refusal) => {
         this.resolvePending(id, Left(refusal));
@@ -168,7 +168,7 @@
   }
 
   /** Resolves with a runner, or with the reason why there is none. */
-  async admit(call: Call): Promise<Either<Refusal, AdmittedRequest>> {
+  async admit(call: DirectCall): Promise<Either<Refusal, AdmittedRequest>> {
     const { pool } = this.serviceOf(call.service);
     if (pool.size === 0) return Left(noRunnerRefusal(call));
     const request = this.admissionRequestOf(call);
@@ -293,7 +293,7 @@
     return this.inputs.isSlow(server.address, server.startedAtMs);
   }
 
-  private maximumWaitMs({ route, service }: Call): number {
+  private maximumWaitMs({ route, service }: DirectCall): number {
     const waitMs = route.objectiveMs * QUEUE_WAIT_SHARE_OF_OBJECTIVE;
     return this.isUnavailable(service)
       ? Math.max(OUTAGE_QUEUE_WAIT_MS, waitMs)
@@ -306,7 +306,7 @@
     pending?.resolve(result);
   }
 
-  private admissionRequestOf(call: Call): AdmissionRequest {
+  private admissionRequestOf(call: DirectCall): AdmissionRequest {
     const { route, fields, account = "", service } = call;
     return {
       id: call.id,
@@ -361,7 +361,7 @@
         pool: name,
         random,
         emit,
-        mostRetries: MAXIMUM_SAVED_RETRIES,
+        maximumRetries: MAXIMUM_SAVED_RETRIES,
       }),
     };
     this.services.set(name, state);
@@ -369,7 +369,7 @@
   }
 }
 
-function noRunnerRefusal(call: Call): Refusal {
+function noRunnerRefusal(call: DirectCall): Refusal {
   return {
     error: failure(1209, { pool: call.service }),
     retryAfterMs: NO_RUNNER_RETRY_AFTER_MS,
--- a/src/direct/runner-pool.ts
+++ b/src/direct/runner-pool.ts
@@ -4,7 +4,7 @@
  * entry uses the smallest share.
  */
 import { toFailure, type Emit, type Now, type Random } from "../internal.js";
-import type { LifeStart } from "../membership/life.js";
+import type { IncarnationStart } from "../membership/incarnation.js";
 import type { BackendServer } from "../membership/types.js";
 import { RunnerHealth } from "../placement/health.js";
 import type { RunnerConnections } from "./runner-connections.js";
@@ -44,7 +44,10 @@
  * Returns whether the incarnation with this address (host:port) and start time
  * is slow.
  */
-export type IsSlow = (address: string, startedAtMs: LifeStart) => boolean;
+export type IsSlow = (
+  address: string,
+  startedAtMs: IncarnationStart,
+) => boolean;
 
 export interface RunnerPoolInputs {
   readonly now: Now;
@@ -196,7 +199,7 @@
     for (const runner of this.runners.values()) {
       if (excluded.has(runner) || !isAllowed(runner)) continue;
       if (runner.fullUntilMs > nowMs) continue;
-      if (!runner.health.mayTake(nowMs)) continue;
+      if (!runner.health.isAvailable(nowMs)) continue;
       const score = this.loadScoreOf(runner);
       if (score >= bestScore) continue;
       best = runner;
@@ -230,14 +233,14 @@
         return;
       case "full":
         runner.fullUntilMs = nowMs + FULL_BACKOFF_MS;
-        health.onNoVerdict();
+        health.onInconclusive();
         return;
       case "replaced":
         runner.fullUntilMs = nowMs + REPLACED_BACKOFF_MS;
-        health.onNoVerdict();
+        health.onInconclusive();
         return;
       case "none":
-        health.onNoVerdict();
+        health.onInconclusive();
     }
   }
 
--- a/src/direct/service-groups.ts
+++ b/src/direct/service-groups.ts
@@ -12,7 +12,7 @@
   orderForNewRequest,
   type GroupLoad,
 } from "./group-choice.js";
-import { ConcurrencyLimit } from "./pace-limit.js";
+import { ConcurrencyLimit } from "./concurrency-limit.js";
 import type { Runner, RunnerPool } from "./runner-pool.js";
 
 /** `address`: host:port of a runner. */
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -29,7 +29,7 @@
 }
 
 /** Fields that the platform's headers carry on a runner's response. */
-export interface AnswerFields {
+export interface ResponseFields {
   /** Id of the attempt that the response belongs to. */
   readonly attemptId: string | undefined;
   /** The runner states that it hasn't run the request and never will. */
@@ -44,9 +44,9 @@
   /** Id of the only runner that may run it. */
   readonly runner: string;
   readonly account: string | undefined;
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** Id of the event after which an interrupted stream resumes. */
-  readonly resumeAfter: number | undefined;
+  readonly resumeAfterEventId: number | undefined;
 }
 
 /** Translates headers; implemented by the platform's adapter. */
@@ -55,7 +55,7 @@
   readonly readAnswer: (
     status: number,
     headers: IncomingHttpHeaders,
-  ) => AnswerFields;
+  ) => ResponseFields;
   /**
    * Builds the headers of a request to a runner from the caller's end-to-end
    * headers, without the caller's own values of platform headers.
@@ -67,7 +67,7 @@
 }
 
 /** A caller's request, completely read and permitted by the configuration. */
-export interface Call {
+export interface DirectCall {
   readonly id: string;
   readonly method: string;
   /** Path and query as the caller sent them. */
--- a/src/expertmap/agent.ts
+++ b/src/expertmap/agent.ts
@@ -9,7 +9,7 @@
 import {
   ballotKey,
   GroupFormation,
-  hashMap,
+  hashExpertMap,
   MapProposer,
   MapSwitch,
   sameBallot,
@@ -104,7 +104,7 @@
   get mapInForce(): VersionedMap | undefined {
     const { state, lastReadMap } = this;
     if (lastReadMap === undefined || state === undefined) return undefined;
-    const isCurrent = hashMap(lastReadMap) === state.mapHash;
+    const isCurrent = hashExpertMap(lastReadMap) === state.mapHash;
     return isCurrent ? { version: state.version, map: lastReadMap } : undefined;
   }
 
@@ -329,7 +329,9 @@
   }
 
   private lastReadMapHash(): string {
-    return this.lastReadMap === undefined ? "" : hashMap(this.lastReadMap);
+    return this.lastReadMap === undefined
+      ? ""
+      : hashExpertMap(this.lastReadMap);
   }
 
   private send(now: number): (to: string, message: MapMessage) => void {
--- a/src/expertmap/map.ts
+++ b/src/expertmap/map.ts
@@ -4,7 +4,7 @@
   EMPTY_SLOT,
   type ExpertMap,
   type GroupMember,
-  type WeightName,
+  type ExpertWeightId,
 } from "../internal.js";
 
 const HASH_LENGTH = 16;
@@ -12,7 +12,7 @@
 const hashCache = new WeakMap<ExpertMap, string>();
 
 /** Content hash of a map; cached because hashing a large map takes milliseconds. */
-export function hashMap(map: ExpertMap): string {
+export function hashExpertMap(map: ExpertMap): string {
   const cached = hashCache.get(map);
   if (cached !== undefined) return cached;
   const { layers, ranks, experts, slotsPerRank } = map.shape;
@@ -40,7 +40,7 @@
 export function weightsOf(
   map: ExpertMap,
   ranks: readonly number[],
-): readonly WeightName[] {
+): readonly ExpertWeightId[] {
   const layers = Array.from({ length: map.shape.layers }, (_, layer) => layer);
   return ranks.flatMap((rank) =>
     layers.flatMap((layer) =>
@@ -49,7 +49,7 @@
   );
 }
 
-export function weightKey(weight: WeightName): string {
+export function weightKey(weight: ExpertWeightId): string {
   return `${weight.rank}/${weight.layer}/${weight.expert}`;
 }
 
--- a/src/expertmap/membership.ts
+++ b/src/expertmap/membership.ts
@@ -4,7 +4,7 @@
  */
 import type { GroupMember } from "../internal.js";
 
-export interface Candidate extends GroupMember {
+export interface MemberCandidate extends GroupMember {
   /** Still serving, but about to leave. */
   readonly leaving: boolean;
 }
@@ -17,7 +17,7 @@
  * formations.
  */
 export function chooseMembers(
-  candidates: readonly Candidate[],
+  candidates: readonly MemberCandidate[],
   ranks: number,
   currentMembers: readonly GroupMember[],
 ): readonly GroupMember[] | undefined {
--- a/src/expertmap/proposer.ts
+++ b/src/expertmap/proposer.ts
@@ -11,7 +11,7 @@
 import { Left, Right, type Either } from "purify-ts";
 import {
   failure,
-  hashMap,
+  hashExpertMap,
   higherBallot,
   sameBallot,
   type ApricotdeckError,
@@ -20,7 +20,7 @@
   type ExpertMap,
   type MapSwitch,
   type Proposal,
-  type ProposalEnd,
+  type ProposalResult,
   type SendMessage,
   type StagedMessage,
 } from "../internal.js";
@@ -63,7 +63,7 @@
 
 export interface EndedProposal {
   readonly mapHash: string;
-  readonly end: ProposalEnd;
+  readonly end: ProposalResult;
 }
 
 export class MapProposer {
@@ -106,7 +106,7 @@
     const { phase } = this;
     if (phase?.kind !== "staging") return;
     if (!sameBallot(message.group, phase.group)) return;
-    if (message.mapHash !== hashMap(phase.map)) return;
+    if (message.mapHash !== hashExpertMap(phase.map)) return;
     phase.replies.set(from, { message, at: now });
   }
 
@@ -131,7 +131,7 @@
     send: SendMessage,
   ): EndedProposal | undefined {
     const { group, version, map, replies, members } = phase;
-    const mapHash = hashMap(map);
+    const mapHash = hashExpertMap(map);
     if (!sameBallot(state.group, group) || state.version >= version) {
       return { mapHash, end: failure(1604) };
     }
@@ -169,7 +169,7 @@
       id: { number: this.highestNumber, author: this.agent },
       group,
       version,
-      mapHash: hashMap(map),
+      mapHash: hashExpertMap(map),
       step: pickStep(received, state, now),
       participants: members.map((member) => ({
         member,
--- a/src/expertmap/staging-fetch.ts
+++ b/src/expertmap/staging-fetch.ts
@@ -4,7 +4,7 @@
  * weights again.
  */
 import {
-  hashMap,
+  hashExpertMap,
   ranksOf,
   weightKey,
   weightsOf,
@@ -75,7 +75,8 @@
     if (stagingComplete || isFetching) return undefined;
     const { pendingJoin } = this.staging;
     const isForJoin =
-      pendingJoin !== undefined && hashMap(pendingJoin.map) === stagingHash;
+      pendingJoin !== undefined &&
+      hashExpertMap(pendingJoin.map) === stagingHash;
     const map = isForJoin
       ? pendingJoin.map
       : this.staging.mapByHash(stagingHash);
--- a/src/expertmap/staging.ts
+++ b/src/expertmap/staging.ts
@@ -5,7 +5,7 @@
  * other's staging.
  */
 import {
-  hashMap,
+  hashExpertMap,
   ranksOf,
   sameBallot,
   weightsOf,
@@ -47,7 +47,7 @@
 
   mapByHash(hash: string): ExpertMap | undefined {
     const map = this.target?.map;
-    return map !== undefined && hashMap(map) === hash ? map : undefined;
+    return map !== undefined && hashExpertMap(map) === hash ? map : undefined;
   }
 
   stage(
@@ -60,10 +60,10 @@
     if (!sameBallot(state.group, group)) return undefined;
     if (version !== state.version + 1) return undefined;
     if (this.mayReplaceTarget(from, group, now)) {
-      const knownMap = this.mapByHash(hashMap(map));
+      const knownMap = this.mapByHash(hashExpertMap(map));
       this.target = { map: knownMap ?? map, from, group, lastRequestAt: now };
     }
-    const mapHash = hashMap(map);
+    const mapHash = hashExpertMap(map);
     const isTarget = this.mapByHash(mapHash) !== undefined;
     const { step, stepMs, floor } = state;
     const complete =
@@ -112,7 +112,8 @@
     state: EngineMapState,
   ): EngineCall | undefined {
     const { map, members, formation, version } = joinRequest;
-    const isReady = state.stagingHash === hashMap(map) && state.stagingComplete;
+    const isReady =
+      state.stagingHash === hashExpertMap(map) && state.stagingComplete;
     if (isReady) return { kind: "join", formation, members, version, map };
     return this.stageCall(map, members, state);
   }
@@ -122,7 +123,7 @@
     members: JoinMessage["members"],
     state: EngineMapState,
   ): EngineCall | undefined {
-    const mapHash = hashMap(map);
+    const mapHash = hashExpertMap(map);
     if (state.stagingHash === mapHash) return undefined;
     const weights = weightsOf(map, ranksOf(members, this.member));
     return { kind: "stage", mapHash, weights };
--- a/src/expertmap/types.ts
+++ b/src/expertmap/types.ts
@@ -43,13 +43,13 @@
 }
 
 /** Identifies the weights of one expert on one rank and layer. */
-export interface WeightName {
+export interface ExpertWeightId {
   readonly rank: number;
   readonly layer: number;
   readonly expert: number;
 }
 
-export interface StagedWeight extends WeightName {
+export interface StagedWeight extends ExpertWeightId {
   /** Bytes that the engine holds so far. */
   readonly bytes: number;
 }
@@ -183,7 +183,7 @@
   | {
       readonly kind: "stage";
       readonly mapHash: string;
-      readonly weights: readonly WeightName[];
+      readonly weights: readonly ExpertWeightId[];
     }
   | {
       readonly kind: "arm";
@@ -215,12 +215,12 @@
 
 /** Byte range of one expert's weights to fetch and pass to the engine. */
 export interface WeightPart {
-  readonly weight: WeightName;
+  readonly weight: ExpertWeightId;
   readonly offset: number;
   readonly length: number;
 }
 
-export type ProposalEnd = ProposalOutcome | ApricotdeckError;
+export type ProposalResult = ProposalOutcome | ApricotdeckError;
 
 export type MapEffect =
   | {
@@ -233,5 +233,5 @@
   | {
       readonly kind: "ended";
       readonly mapHash: string;
-      readonly end: ProposalEnd;
+      readonly end: ProposalResult;
     };
--- a/src/expertmap/fetch.ts
+++ b/src/expertmap/weight-fetch.ts
@@ -12,7 +12,7 @@
   weightKey,
   type Random,
   type StagedWeight,
-  type WeightName,
+  type ExpertWeightId,
   type WeightPart,
 } from "../internal.js";
 
@@ -29,7 +29,7 @@
 const MAXIMUM_BACKOFF_MS = 2_000;
 
 export class WeightFetch {
-  private pending: WeightName[] = [];
+  private pending: ExpertWeightId[] = [];
   private heldBytesByWeight = new Map<string, number>();
   private inFlight: WeightPart | undefined;
   private consecutiveFailures = 0;
@@ -55,7 +55,10 @@
   }
 
   /** Replaces the pending weights; resumes from the bytes the engine holds. */
-  start(wanted: readonly WeightName[], held: readonly StagedWeight[]): void {
+  start(
+    wanted: readonly ExpertWeightId[],
+    held: readonly StagedWeight[],
+  ): void {
     this.pending = [...wanted].reverse();
     this.heldBytesByWeight = new Map(
       held.map((item) => [weightKey(item), item.bytes]),
--- a/src/index.ts
+++ b/src/index.ts
@@ -50,8 +50,8 @@
 // claims
 export {
   checkKeyAge,
-  claimStream,
   ClaimCoordinator,
+  claimStream,
   ClaimTable,
   decodeClaimBatch,
   encodeClaimBatch,
@@ -89,9 +89,9 @@
   RetryAllowance,
 } from "./internal.js";
 export type {
+  AdmissionDecision,
   AdmissionInputs,
   AdmissionRequest,
-  Offer,
   Refusal,
 } from "./internal.js";
 
@@ -99,8 +99,8 @@
 export { defaultPlacementSettings, Placement } from "./internal.js";
 export type {
   CacheEvent,
-  Choice,
-  Placed,
+  PlacedRequest,
+  PlacementChoice,
   PlacementInputs,
   PlacementRequest,
   PlacementSettings,
@@ -114,7 +114,7 @@
   checkMap,
   checkShape,
   createEvenMap,
-  levelRequests,
+  distributeRequests,
   Planner,
   PlannerThread,
   runPlannerTask,
@@ -122,7 +122,7 @@
   WindowCollector,
 } from "./internal.js";
 export type {
-  Decision,
+  DecisionInput as Decision,
   ExpertMap,
   ExpertMove,
   GroupShape,
@@ -138,7 +138,12 @@
 } from "./internal.js";
 
 // expert map switch
-export { GroupAgent, hashMap, MapProposer, MapSwitch } from "./internal.js";
+export {
+  GroupAgent,
+  hashExpertMap,
+  MapProposer,
+  MapSwitch,
+} from "./internal.js";
 export type {
   Ballot,
   EngineCall,
@@ -151,5 +156,5 @@
 } from "./internal.js";
 
 // orders
-export { applyLeaseRecord, LeaseHolder, OrderDesk } from "./internal.js";
+export { applyLeaseRecord, LeaseHolder, OrderExecutor } from "./internal.js";
 export type { Order, OrderKind } from "./internal.js";
--- a/src/internal.ts
+++ b/src/internal.ts
@@ -31,10 +31,10 @@
 export * from "./claims/table.js";
 export * from "./claims/batcher.js";
 export * from "./claims/append-schedule.js";
-export * from "./claims/abandoned.js";
+export * from "./claims/abandoned-claims.js";
 export * from "./claims/attempt-answer.js";
 export * from "./claims/coordinator-types.js";
-export * from "./claims/calls.js";
+export * from "./claims/pending-calls.js";
 export * from "./claims/coordinator.js";
 
 // session
@@ -82,17 +82,17 @@
 export * from "./expertmap/types.js";
 export * from "./expertmap/map.js";
 export * from "./expertmap/votes.js";
-export * from "./expertmap/fetch.js";
+export * from "./expertmap/weight-fetch.js";
 export * from "./expertmap/switch.js";
 export * from "./expertmap/proposer.js";
 export * from "./expertmap/formation.js";
 export * from "./expertmap/staging.js";
 export * from "./expertmap/staging-fetch.js";
 export * from "./expertmap/membership.js";
-export * from "./expertmap/step-check.js";
+export * from "./expertmap/step-checker.js";
 export * from "./expertmap/agent.js";
 
 // orders
 export * from "./orders/types.js";
 export * from "./orders/lease.js";
-export * from "./orders/order-desk.js";
+export * from "./orders/order-executor.js";
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -17,12 +17,12 @@
  */
 import type { Emit, Now } from "../internal.js";
 import { ServerTombstones } from "./server-tombstones.js";
-import { orderOfLives } from "./life.js";
+import { compareIncarnations } from "./incarnation.js";
 import {
   INACTIVE_RETENTION_MS,
   InactiveIncarnations,
 } from "./inactive-incarnations.js";
-import type { After, BackendServer, RegisterChange } from "./types.js";
+import type { ScheduleAfter, BackendServer, RegisterChange } from "./types.js";
 
 /**
  * Time after an outage of the store within which every live runner has
@@ -44,17 +44,20 @@
 
 export interface DirectoryOptions {
   readonly now: Now;
-  readonly after: After;
+  readonly after: ScheduleAfter;
   readonly emit: Emit;
   /** The runner may get requests, or its known details have changed. */
-  readonly onServer: (server: BackendServer) => void;
+  readonly onServerAvailable: (server: BackendServer) => void;
   /** The runner gets no new requests from now on. */
-  readonly onGone: (id: string) => void;
+  readonly onServerUnavailable: (id: string) => void;
   /**
    * The earlier incarnation has ended, because the later one has its id or its
    * address: requests that still run on it will never complete.
    */
-  readonly onEnded: (earlier: BackendServer, later: BackendServer) => void;
+  readonly onServerReplaced: (
+    earlier: BackendServer,
+    later: BackendServer,
+  ) => void;
   /** Whether the active configuration names the service. */
   readonly isServiceNamed: (service: string) => boolean;
 }
@@ -123,7 +126,7 @@
    * next. The grace period counts from the last call before the rollback was
    * seen, monotonic ms.
    */
-  onStoreReturned(lastBeforeMs: number): void {
+  onStoreRolledBack(lastBeforeMs: number): void {
     this.tombstones.onStoreRolledBack();
     this.restoredAtMs = Math.max(this.restoredAtMs, lastBeforeMs);
   }
@@ -160,7 +163,7 @@
     const order =
       known === undefined
         ? "same"
-        : orderOfLives(known.startedAtMs, seen.startedAtMs);
+        : compareIncarnations(known.startedAtMs, seen.startedAtMs);
     if (order === "earlier" && !this.isSilentForLong(seen.id)) return;
     if (known !== undefined && order !== "same") {
       this.replaceIncarnation(known, seen);
@@ -216,7 +219,7 @@
     later: BackendServer,
   ): void {
     this.drop(earlier.id, "started again");
-    this.options.onEnded(earlier, later);
+    this.options.onServerReplaced(earlier, later);
     this.accept(later, this.options.now() + REPLACEMENT_GRACE_MS);
   }
 
@@ -247,7 +250,7 @@
       const startedAtMs = server.startedAtMs ?? null;
       this.options.emit(211, { runner: id, service, address, startedAtMs });
     }
-    this.options.onServer(server);
+    this.options.onServerAvailable(server);
   }
 
   /**
@@ -263,8 +266,8 @@
       if (id === server.id || holder.address !== server.address) continue;
       if (!this.canReassignAddress(holder, server)) return false;
       this.drop(id, "address taken");
-      const order = orderOfLives(holder.startedAtMs, server.startedAtMs);
-      if (order === "later") this.options.onEnded(holder, server);
+      const order = compareIncarnations(holder.startedAtMs, server.startedAtMs);
+      if (order === "later") this.options.onServerReplaced(holder, server);
     }
     return true;
   }
@@ -275,7 +278,7 @@
     seen: BackendServer,
   ): boolean {
     if (!this.options.isServiceNamed(holder.service)) return true;
-    const order = orderOfLives(holder.startedAtMs, seen.startedAtMs);
+    const order = compareIncarnations(holder.startedAtMs, seen.startedAtMs);
     return order !== "earlier" || this.isSilentForLong(holder.id);
   }
 
@@ -325,7 +328,7 @@
     this.inactive.addDropped(entry.server);
     this.tombstones.add(entry.server);
     this.options.emit(212, { runner: id, reason });
-    this.options.onGone(id);
+    this.options.onServerUnavailable(id);
   }
 }
 
--- a/src/membership/inactive-incarnations.ts
+++ b/src/membership/inactive-incarnations.ts
@@ -5,7 +5,7 @@
  * are therefore remembered for longer than such a write can take.
  */
 import type { Now } from "../internal.js";
-import type { After, BackendServer } from "./types.js";
+import type { ScheduleAfter, BackendServer } from "./types.js";
 
 /**
  * How long an ended incarnation is remembered, ms; late writes take seconds.
@@ -41,10 +41,10 @@
 
   private constructor(
     private readonly now: Now,
-    private readonly after: After,
+    private readonly after: ScheduleAfter,
   ) {}
 
-  static create(now: Now, after: After): InactiveIncarnations {
+  static create(now: Now, after: ScheduleAfter): InactiveIncarnations {
     return new InactiveIncarnations(now, after);
   }
 
--- a/src/membership/life.ts
+++ b/src/membership/incarnation.ts
@@ -10,16 +10,19 @@
  * Start time of an incarnation, Unix ms by the server's own clock. Undefined if
  * the platform doesn't report it; then only a new id shows a new incarnation.
  */
-export type LifeStart = number | undefined;
+export type IncarnationStart = number | undefined;
 
 /** How an incarnation relates in time to another one of the same id. */
-export type LifeOrder = "earlier" | "same" | "later";
+export type IncarnationOrder = "earlier" | "same" | "later";
 
 /**
  * Whether the incarnation `seen` is earlier or later than the known one.
  * Incarnations that can't be told apart count as the same.
  */
-export function orderOfLives(known: LifeStart, seen: LifeStart): LifeOrder {
+export function compareIncarnations(
+  known: IncarnationStart,
+  seen: IncarnationStart,
+): IncarnationOrder {
   if (known === undefined || seen === undefined) return "same";
   if (seen === known) return "same";
   return seen > known ? "later" : "earlier";
--- a/src/membership/runner-groups.ts
+++ b/src/membership/runner-groups.ts
@@ -84,7 +84,7 @@
   }
 
   /** Returns whether the group has been formed again or wasn't known. */
-  take(note: GroupNote): boolean {
+  apply(note: GroupNote): boolean {
     const { name, epoch, addresses } = note;
     for (const [address, known] of this.byAddress) {
       if (known.name === name) this.byAddress.delete(address);
--- a/src/membership/server-tombstones.ts
+++ b/src/membership/server-tombstones.ts
@@ -4,8 +4,8 @@
  * older copy, servers that have left since are shown as ready.
  */
 import type { Now } from "../internal.js";
-import { orderOfLives } from "./life.js";
-import type { After, BackendServer } from "./types.js";
+import { compareIncarnations } from "./incarnation.js";
+import type { ScheduleAfter, BackendServer } from "./types.js";
 
 /**
  * How long a tombstone is kept, and how long records are checked after a
@@ -25,10 +25,10 @@
 
   private constructor(
     private readonly now: Now,
-    private readonly after: After,
+    private readonly after: ScheduleAfter,
   ) {}
 
-  static create(now: Now, after: After): ServerTombstones {
+  static create(now: Now, after: ScheduleAfter): ServerTombstones {
     return new ServerTombstones(now, after);
   }
 
@@ -61,7 +61,7 @@
     if (this.now() - this.rolledBackAtMs >= TOMBSTONE_TTL_MS) return false;
     const known = this.tombstones.get(seen.id)?.server;
     if (known === undefined) return false;
-    if (orderOfLives(known.startedAtMs, seen.startedAtMs) === "later") {
+    if (compareIncarnations(known.startedAtMs, seen.startedAtMs) === "later") {
       return false;
     }
     if (known.isLeaving) return true;
--- a/src/membership/slow-runners.ts
+++ b/src/membership/slow-runners.ts
@@ -13,7 +13,7 @@
 import type { KeyedRecord } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
 import { isHostPort } from "./host-port.js";
-import { orderOfLives, type LifeStart } from "./life.js";
+import { compareIncarnations, type IncarnationStart } from "./incarnation.js";
 import type { BackendServer } from "./types.js";
 
 /** Pace of one rank. */
@@ -23,18 +23,18 @@
   /** Factor by which the rank takes longer than usual for its work. */
   readonly slowness: number;
   /** Incarnation of the runner that the note describes. */
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
 }
 
 /** A rank counts as slow from this factor on. */
-export const SLOW_FROM = 1.5;
+export const SLOW_THRESHOLD = 1.5;
 
 /**
  * How long a note applies unless it is published again, ms. If its writer is
  * gone, nobody reports that the rank has recovered; it must not be excluded
  * forever.
  */
-export const NOTE_LASTS_MS = 9000;
+export const PACE_NOTE_TTL_MS = 9000;
 
 /** Stream name under which unreadable notes are reported. */
 export const PACE_STREAM = "pace";
@@ -81,7 +81,7 @@
 }
 
 interface SlowRunner {
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
   /** When the note expires, monotonic ms. */
   readonly untilMs: number;
 }
@@ -99,14 +99,14 @@
     return new SlowRunners(now, emit);
   }
 
-  take({ address, slowness, startedAtMs }: PaceNote): void {
+  apply({ address, slowness, startedAtMs }: PaceNote): void {
     this.removeExpired();
     const known = this.slow.get(address);
-    const order = orderOfLives(known?.startedAtMs, startedAtMs);
+    const order = compareIncarnations(known?.startedAtMs, startedAtMs);
     // A late note of an earlier incarnation must not override one of a later
     // one.
     if (order === "earlier") return;
-    const isSlow = slowness >= SLOW_FROM;
+    const isSlow = slowness >= SLOW_THRESHOLD;
     if (isSlow !== this.isSlow(address, startedAtMs)) {
       this.emit(217, { address, slowness });
     }
@@ -114,7 +114,7 @@
       this.slow.delete(address);
       return;
     }
-    const untilMs = this.now() + NOTE_LASTS_MS;
+    const untilMs = this.now() + PACE_NOTE_TTL_MS;
     this.slow.set(address, { startedAtMs, untilMs });
   }
 
@@ -130,10 +130,10 @@
   }
 
   /** A note of an earlier incarnation at the address doesn't apply. */
-  isSlow(address: string, startedAtMs: LifeStart): boolean {
+  isSlow(address: string, startedAtMs: IncarnationStart): boolean {
     const known = this.slow.get(address);
     if (known === undefined || known.untilMs <= this.now()) return false;
-    return orderOfLives(known.startedAtMs, startedAtMs) !== "later";
+    return compareIncarnations(known.startedAtMs, startedAtMs) !== "later";
   }
 
   /**
@@ -147,7 +147,7 @@
   }: Pick<BackendServer, "address" | "startedAtMs">): void {
     const known = this.slow.get(address);
     if (known === undefined) return;
-    const order = orderOfLives(startedAtMs, known.startedAtMs);
+    const order = compareIncarnations(startedAtMs, known.startedAtMs);
     if (order !== "later") this.slow.delete(address);
   }
 }
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -1,5 +1,5 @@
 /** Types of membership: backend servers that registered themselves. */
-import type { LifeStart } from "./life.js";
+import type { IncarnationStart } from "./incarnation.js";
 
 export interface BackendServer {
   /**
@@ -7,7 +7,7 @@
    * incarnation.
    */
   readonly id: string;
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
   readonly service: string;
   /** host:port; may later belong to another runner. */
   readonly address: string;
@@ -30,4 +30,4 @@
 }
 
 /** Schedules the action after the delay, ms; with 0, as soon as possible. */
-export type After = (delayMs: number, action: () => void) => void;
+export type ScheduleAfter = (delayMs: number, action: () => void) => void;
--- a/src/orders/order-desk.ts
+++ b/src/orders/order-executor.ts
@@ -52,7 +52,7 @@
 /** Retry delay for callers while the agent hasn't read the log, ms. */
 const LOG_UNREAD_RETRY_MS = 1_000;
 
-export class OrderDesk {
+export class OrderExecutor {
   /** Highest fencing token known for each kind. */
   private readonly highestFencing = new Map<OrderKind, number>();
   private isLogRead = false;
@@ -77,12 +77,12 @@
     emit: Emit,
     now: number,
     safeguards: OrderSafeguards = allOrderSafeguards,
-  ): OrderDesk {
-    return new OrderDesk(settings, emit, safeguards, now);
+  ): OrderExecutor {
+    return new OrderExecutor(settings, emit, safeguards, now);
   }
 
   /** Whether no order is in progress. */
-  get idle(): boolean {
+  get isIdle(): boolean {
     return this.runningOrder === undefined;
   }
 
@@ -90,12 +90,12 @@
    * Called with the newest orders for this engine once the log was read to its
    * end.
    */
-  learn(newest: readonly Order[]): void {
+  onOrdersRead(newest: readonly Order[]): void {
     this.isLogRead = true;
     for (const order of newest) this.raiseHighestFencing(order);
   }
 
-  take(order: Order, now: number): readonly OrderEffect[] {
+  submit(order: Order, now: number): readonly OrderEffect[] {
     const refusal = this.refusalOf(order, now);
     if (refusal !== undefined) {
       const { fencing } = order;
@@ -115,7 +115,7 @@
     return this.advance(now);
   }
 
-  answered(answer: OrderAnswer, now: number): readonly OrderEffect[] {
+  onAnswer(answer: OrderAnswer, now: number): readonly OrderEffect[] {
     const call = this.pendingCall;
     this.pendingCall = undefined;
     const { runningOrder: running } = this;
@@ -130,7 +130,7 @@
   }
 
   /** The call failed; whether the engine received the order is unknown. */
-  failed(now: number): readonly OrderEffect[] {
+  onCallFailed(now: number): readonly OrderEffect[] {
     const call = this.pendingCall;
     this.pendingCall = undefined;
     const { runningOrder: running } = this;
--- a/src/placement/defaults.ts
+++ b/src/placement/defaults.ts
@@ -2,10 +2,10 @@
 import type { PlacementSettings, PlacementTuning } from "./types.js";
 
 export const DEFAULT_TUNING: PlacementTuning = {
-  scanUpTo: 16,
-  samples: 8,
+  fullScanLimit: 16,
+  sampleCount: 8,
   maximumHolders: 4,
-  reportTrustMs: 300,
+  reportDecayMs: 300,
   occupancyPenaltyMs: 20,
   slownessDecayMs: 10_000,
 };
--- a/src/placement/health.ts
+++ b/src/placement/health.ts
@@ -39,7 +39,7 @@
     return this.ejectedUntilMs;
   }
 
-  mayTake(nowMs: number): boolean {
+  isAvailable(nowMs: number): boolean {
     if (this.ejections === 0) return true;
     return !this.isProbeRunning && nowMs >= this.ejectedUntilMs;
   }
@@ -49,7 +49,7 @@
   }
 
   /** The attempt ended without showing whether the runner works. */
-  onNoVerdict(): void {
+  onInconclusive(): void {
     this.isProbeRunning = false;
   }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -14,8 +14,8 @@
 import { predict, type Prediction } from "./prediction.js";
 import type {
   CacheEvent,
-  Choice,
-  Placed,
+  PlacementChoice,
+  PlacedRequest,
   PlacementInputs,
   PlacementRequest,
   PlacementTuning,
@@ -71,7 +71,7 @@
     this.runners.delete(runner);
   }
 
-  choose(request: PlacementRequest): Either<ApricotdeckError, Choice> {
+  choose(request: PlacementRequest): Either<ApricotdeckError, PlacementChoice> {
     const pool = this.pools.get(request.pool);
     if (pool === undefined || pool.size === 0) return noRunnerFailure(request);
     const matches = this.findMatches(request);
@@ -86,7 +86,7 @@
   }
 
   /** The request was sent to the chosen runner. */
-  onStarted({ request, choice }: Placed): void {
+  onStarted({ request, choice }: PlacedRequest): void {
     const state = this.runners.get(choice.runner);
     if (state === undefined) return;
     state.changeOwnCount(this.inputs.now(), 1);
@@ -100,7 +100,11 @@
    * The answer completed, `serviceMs` after the runner had started the request.
    * `cachedTokens` is the cache hit that the engine reports, if it does.
    */
-  onEnded(placed: Placed, serviceMs: number, cachedTokens?: number): void {
+  onEnded(
+    placed: PlacedRequest,
+    serviceMs: number,
+    cachedTokens?: number,
+  ): void {
     const state = this.release(placed);
     if (state === undefined) return;
     const { request, choice } = placed;
@@ -119,7 +123,7 @@
   }
 
   /** The attempt failed because of the runner or of the session to it. */
-  onFailed(placed: Placed): void {
+  onFailed(placed: PlacedRequest): void {
     const state = this.release(placed);
     if (state === undefined) return;
     if (!state.health.onFailed(this.inputs.now())) return;
@@ -127,19 +131,19 @@
   }
 
   /** The agent refused the request at its limit, which isn't a fault. */
-  onRefused(placed: Placed): void {
+  onRefused(placed: PlacedRequest): void {
     const state = this.release(placed);
     if (state === undefined) return;
     const before = state.othersCount;
     const limit = this.limitOf(state, placed.request.priority);
     state.onFull(this.inputs.now(), limit);
     this.updatePools(state, before);
-    state.health.onNoVerdict();
+    state.health.onInconclusive();
   }
 
   /** The caller disconnected, which doesn't affect the runner's health. */
-  onCancelled(placed: Placed): void {
-    this.release(placed)?.health.onNoVerdict();
+  onCancelled(placed: PlacedRequest): void {
+    this.release(placed)?.health.onInconclusive();
   }
 
   onReport(runner: string, load: RunnerLoad): void {
@@ -182,7 +186,7 @@
     pool: Pool,
     matches: readonly PrefixMatch[],
   ): RunnerState | undefined {
-    if (pool.size <= this.tuning.scanUpTo) return undefined;
+    if (pool.size <= this.tuning.fullScanLimit) return undefined;
     return this.best(pool.runners, request, pool, matches);
   }
 
@@ -196,7 +200,7 @@
     let best: RunnerState | undefined;
     let bestMs = Number.POSITIVE_INFINITY;
     for (const candidate of candidates) {
-      if (!candidate.health.mayTake(nowMs)) continue;
+      if (!candidate.health.isAvailable(nowMs)) continue;
       if (request.excluded?.includes(candidate.name) === true) continue;
       const { scoreMs } = this.predict(candidate, request, pool, matches);
       if (scoreMs >= bestMs) continue;
@@ -226,7 +230,7 @@
     return attemptLimit({ slots, queueShare }, priority);
   }
 
-  private release({ choice }: Placed): RunnerState | undefined {
+  private release({ choice }: PlacedRequest): RunnerState | undefined {
     const state = this.runners.get(choice.runner);
     state?.changeOwnCount(this.inputs.now(), -1);
     return state;
@@ -278,7 +282,7 @@
   return Left(failure(1209, { pool: request.pool }));
 }
 
-function toChoice(state: RunnerState, prediction: Prediction): Choice {
+function toChoice(state: RunnerState, prediction: Prediction): PlacementChoice {
   const { waitMs, nominalMs, serviceMs } = prediction;
   const { cachedTokens, importFrom, hasRoom } = prediction;
   return {
--- a/src/placement/pool.ts
+++ b/src/placement/pool.ts
@@ -62,20 +62,25 @@
    * same old reports, would all choose the same least loaded runner.
    */
   sample(
-    { scanUpTo, samples }: PlacementTuning,
+    { fullScanLimit, sampleCount }: PlacementTuning,
     random: Random,
     candidates: Candidates,
   ): void {
-    if (this.members.length <= scanUpTo) {
+    if (this.members.length <= fullScanLimit) {
       // The random start keeps entries from all taking the first of a tie.
       const start = randomBelow(random, this.members.length);
       for (const runner of this.members.slice(start)) candidates.add(runner);
       for (const runner of this.members.slice(0, start)) candidates.add(runner);
       return;
     }
-    const localCount = this.localMembers.length > 0 ? samples >> 1 : 0;
+    const localCount = this.localMembers.length > 0 ? sampleCount >> 1 : 0;
     addRandomRunners(this.localMembers, localCount, random, candidates);
-    addRandomRunners(this.members, samples - localCount, random, candidates);
+    addRandomRunners(
+      this.members,
+      sampleCount - localCount,
+      random,
+      candidates,
+    );
   }
 }
 
--- a/src/placement/prediction.ts
+++ b/src/placement/prediction.ts
@@ -79,7 +79,7 @@
   { nowMs, tuning }: PredictionInputs,
 ): number {
   const ageMs = nowMs - runner.reportedAtMs;
-  const reportWeight = Math.exp(-ageMs / tuning.reportTrustMs);
+  const reportWeight = Math.exp(-ageMs / tuning.reportDecayMs);
   const others =
     reportWeight * runner.othersCount +
     (1 - reportWeight) * pool.meanOthersCount;
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -33,7 +33,7 @@
   readonly excluded?: readonly string[];
 }
 
-export interface Choice {
+export interface PlacementChoice {
   readonly runner: string;
   readonly group: string;
   /** Predicted time in the runner's queue. */
@@ -73,9 +73,9 @@
 }
 
 /** A placed request and the choice made for it. */
-export interface Placed {
+export interface PlacedRequest {
   readonly request: PlacementRequest;
-  readonly choice: Choice;
+  readonly choice: PlacementChoice;
 }
 
 export interface KvTransfer {
@@ -111,13 +111,13 @@
 /** Policy constants; docs/measurements/placement.md has the measurements. */
 export interface PlacementTuning {
   /** Largest pool in which every runner is compared. */
-  readonly scanUpTo: number;
+  readonly fullScanLimit: number;
   /** Runners of a larger pool compared in addition to the prefix's holders. */
-  readonly samples: number;
+  readonly sampleCount: number;
   /** Maximum number of a prefix's holders that are compared. */
   readonly maximumHolders: number;
   /** Time in which the weight of a report decays to 1/e. */
-  readonly reportTrustMs: number;
+  readonly reportDecayMs: number;
   /** Score penalty of a full batch, relative to an empty one. */
   readonly occupancyPenaltyMs: number;
   /** Time in which slowness above 1 decays to 1/e if nothing is observed. */
--- a/src/rankmaps/agent.ts
+++ b/src/rankmaps/agent.ts
@@ -7,7 +7,7 @@
 import { pause } from "../daemon/background-task.js";
 import { EventLog } from "../daemon/event-log.js";
 import { bindServer } from "../daemon/peer-server.js";
-import type { Listening } from "../daemon/listening.js";
+import type { ListeningServer } from "../daemon/listening.js";
 import { registerMetrics } from "../daemon/metrics-registry.js";
 import { startMetricsServer } from "../daemon/operators-server.js";
 import { channelOptions } from "../daemon/transport.js";
@@ -40,7 +40,7 @@
   CONFIGURATION_STREAM,
   newestConfiguration,
 } from "../routing/newest-configuration.js";
-import type { EngineFigures, SiteConfiguration } from "../routing/types.js";
+import type { EngineProperties, SiteConfiguration } from "../routing/types.js";
 import { RankAgentService } from "../wire/generated/rankmaps.js";
 import { Candidacy } from "./candidacy.js";
 import { GroupPlanner } from "./group-planner.js";
@@ -48,7 +48,7 @@
 import { HoldGuard } from "./hold-guard.js";
 import { GroupMembers } from "./group-members.js";
 import { PaceReporter } from "./pace-reporter.js";
-import { PlannerLease, type SeatService } from "./planner-seat.js";
+import { PlannerLease, type LeaseService } from "./planner-lease.js";
 import { RankAgent } from "./rank-agent.js";
 import { RankClient } from "./rank-client.js";
 import { createReachableRank } from "./reachable-rank.js";
@@ -60,7 +60,7 @@
   readonly settings: RankAgentSettings;
   /** Connects to the runner at host:port. */
   readonly connectRunner: (address: string) => RankPort;
-  readonly seats: SeatService;
+  readonly leaseService: LeaseService;
   /** Era of the store that grants the leases and holds the topics. */
   readonly era: StoreEra;
   readonly configuration: KeyedTopic;
@@ -95,7 +95,7 @@
   /** host:port of runners that were seen in another group. */
   private readonly otherGroupRunners = new Set<string>();
   private readonly members: GroupMembers;
-  private engine: EngineFigures | undefined;
+  private engine: EngineProperties | undefined;
   /** Version of the configuration that `engine` comes from. */
   private engineVersion = Number.NEGATIVE_INFINITY;
   private readonly findings: RecordFindings;
@@ -110,10 +110,10 @@
   private readonly incarnation = randomUUID();
   private readonly registry;
   private readonly measurements: Measurements;
-  private metricsServer: Listening | undefined;
+  private metricsServer: ListeningServer | undefined;
 
   private constructor(private readonly options: AgentOptions) {
-    const { settings, connectRunner, seats } = options;
+    const { settings, connectRunner, leaseService } = options;
     const port = connectRunner(settings.runner);
     this.port = port;
     const { name, logLevel, store, dataCentre } = settings;
@@ -169,7 +169,7 @@
       },
     });
     this.lease = PlannerLease.create({
-      service: seats,
+      service: leaseService,
       emit: this.emit,
       era: () => options.era.current,
       member: `${name}.${this.incarnation}`,
@@ -178,7 +178,7 @@
     options.era.onRise((era) => {
       this.emit(196, { era });
       measurements.set("storeEra", era);
-      this.pace.onStoreRestored();
+      this.pace.onStoreRolledBack();
       this.groupReporter.forget();
     });
   }
@@ -299,7 +299,7 @@
     { group }: RankState,
     signal: AbortSignal,
   ): Promise<GroupPlanner | undefined> {
-    const engine = await this.engineFigures(signal);
+    const engine = await this.engineProperties(signal);
     if (engine === undefined || engine.expertSets === 0) return undefined;
     await this.members.read();
     const { epoch, rank, size } = await this.port.observe();
@@ -317,12 +317,12 @@
   }
 
   /**
-   * Throws 1901 while the store is unreachable and the figures aren't known
-   * yet.
+   * Throws 1901 while the store is unreachable and the properties aren't
+   * known yet.
    */
-  private async engineFigures(
+  private async engineProperties(
     signal: AbortSignal,
-  ): Promise<EngineFigures | undefined> {
+  ): Promise<EngineProperties | undefined> {
     const { configuration, configurationKey, decodeConfiguration } =
       this.options;
     try {
@@ -336,14 +336,15 @@
         },
       });
       if (newest === undefined) return this.engine;
-      // The store may have been restored from an older copy.
+      // The store may have been rolled back to an older copy.
       if (newest.version < this.engineVersion) return this.engine;
       this.engineVersion = newest.version;
       const { service } = this.options.settings;
       const own = newest.services.find(({ name }) => name === service);
       this.engine = own?.engine;
     } catch (error) {
-      // An engine's figures hardly ever change, and the group needs a planner.
+      // An engine's properties hardly ever change, and the group needs a
+      // planner.
       if (this.engine === undefined) throw error;
       this.reportUnreachable(error);
     }
--- a/src/rankmaps/group-planner.ts
+++ b/src/rankmaps/group-planner.ts
@@ -3,13 +3,16 @@
  * observes all ranks, tracks demand and drives the switch to each better map.
  */
 import { raise, toFailure, type Emit, type Measurements } from "../internal.js";
-import { orderOfLives, type LifeStart } from "../membership/life.js";
+import {
+  compareIncarnations,
+  type IncarnationStart,
+} from "../membership/incarnation.js";
 import type { PaceNote } from "../membership/slow-runners.js";
-import type { EngineFigures } from "../routing/types.js";
+import type { EngineProperties } from "../routing/types.js";
 import { ExpertDemand } from "./demand.js";
 import { MapPlanner, type MapLimits, type MapPlan } from "./map-planner.js";
 import type { PaceReporter } from "./pace-reporter.js";
-import type { PlannerLease } from "./planner-seat.js";
+import type { PlannerLease } from "./planner-lease.js";
 import {
   applyOrders,
   isMapActive,
@@ -39,7 +42,7 @@
   readonly emit: Emit;
   readonly measurements: Measurements;
   readonly pace: Pick<PaceReporter, "report">;
-  readonly engine: EngineFigures;
+  readonly engine: EngineProperties;
   /**
    * The group that the lease is for. A runner may restart in another group, and
    * fencing numbers of two groups' leases can't be compared.
@@ -60,7 +63,7 @@
 /** Knowledge about the group, valid until one of its ranks restarts. */
 interface GroupSnapshot {
   /** Start time of each rank's incarnation, by rank. */
-  readonly startTimes: readonly LifeStart[];
+  readonly startTimes: readonly IncarnationStart[];
   readonly planner: MapPlanner;
   readonly demand: ExpertDemand;
   map: MapSets;
@@ -370,7 +373,7 @@
 ): boolean {
   return states.every(
     ({ rank, startedAtMs }) =>
-      orderOfLives(startTimes[rank], startedAtMs) === "same",
+      compareIncarnations(startTimes[rank], startedAtMs) === "same",
   );
 }
 
@@ -400,7 +403,7 @@
   return speeds;
 }
 
-function limitsOf(engine: EngineFigures): MapLimits {
+function limitsOf(engine: EngineProperties): MapLimits {
   const { expertCopyMs, maximumNewExperts } = engine;
   const fitting = Math.floor(COPY_BUDGET_MS / Math.max(1, expertCopyMs));
   return {
--- a/src/rankmaps/group-reporter.ts
+++ b/src/rankmaps/group-reporter.ts
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Makes the next report write the note again: the store was restored from an
+   * Makes the next report write the note again: the store was rolled back to an
    * older copy, or another process has planned meanwhile.
    */
   forget(): void {
--- a/src/rankmaps/hold-guard.ts
+++ b/src/rankmaps/hold-guard.ts
@@ -7,7 +7,7 @@
  */
 import { pause } from "../daemon/background-task.js";
 import { toFailure, type Emit } from "../internal.js";
-import { orderOfLives } from "../membership/life.js";
+import { compareIncarnations } from "../membership/incarnation.js";
 import { resolveHeldStep } from "./held-step-resolution.js";
 import type { RelayedMaps } from "./relayed-maps.js";
 import { isArmedHolder, type AddressedOrder } from "./switch-orders.js";
@@ -194,7 +194,7 @@
   own: RankState,
   { step, fence, startedAtMs }: WatchedHold,
 ): boolean {
-  const order = orderOfLives(startedAtMs, own.startedAtMs);
+  const order = compareIncarnations(startedAtMs, own.startedAtMs);
   if (order === "later" || own.epoch !== fence.epoch) return false;
   return own.heldStep === step;
 }
--- a/src/rankmaps/latest-incarnation.ts
+++ b/src/rankmaps/latest-incarnation.ts
@@ -4,10 +4,10 @@
  */
 import type { Now } from "../internal.js";
 import {
-  orderOfLives,
-  type LifeOrder,
-  type LifeStart,
-} from "../membership/life.js";
+  compareIncarnations,
+  type IncarnationOrder,
+  type IncarnationStart,
+} from "../membership/incarnation.js";
 
 /**
  * If the known incarnation hasn't answered for this long while another one
@@ -19,7 +19,7 @@
 const SILENCE_TIMEOUT_MS = 3000;
 
 export class LatestIncarnation {
-  private startedAtMs: LifeStart;
+  private startedAtMs: IncarnationStart;
   /** Monotonic, ms. */
   private seenAtMs = Number.NEGATIVE_INFINITY;
 
@@ -33,8 +33,8 @@
    * Compares an incarnation with the latest one and replaces it if the new one
    * is later.
    */
-  observe(startedAtMs: LifeStart): LifeOrder {
-    const order = orderOfLives(this.startedAtMs, startedAtMs);
+  observe(startedAtMs: IncarnationStart): IncarnationOrder {
+    const order = compareIncarnations(this.startedAtMs, startedAtMs);
     const nowMs = this.now();
     const isSilent = nowMs - this.seenAtMs >= SILENCE_TIMEOUT_MS;
     if (order === "earlier" && !isSilent) return "earlier";
@@ -44,7 +44,7 @@
   }
 
   /** Whether a later incarnation has been seen. */
-  isSuperseded(startedAtMs: LifeStart): boolean {
-    return orderOfLives(this.startedAtMs, startedAtMs) === "earlier";
+  isSuperseded(startedAtMs: IncarnationStart): boolean {
+    return compareIncarnations(this.startedAtMs, startedAtMs) === "earlier";
   }
 }
--- a/src/rankmaps/map-planner.ts
+++ b/src/rankmaps/map-planner.ts
@@ -136,10 +136,10 @@
         copiesByRank[rank] += 1;
         copiesInSet[index][rank] += 1;
         if (copiesInSet[index][rank] >= this.limits.maxCopiesPerSet) {
-          set.search.close(rank);
+          set.search.closeRank(rank);
         }
         if (copiesByRank[rank] >= this.limits.maxCopiesPerRank) {
-          for (const { search } of sets) search.close(rank);
+          for (const { search } of sets) search.closeRank(rank);
         }
       }
     }
--- a/src/rankmaps/map-versions.ts
+++ b/src/rankmaps/map-versions.ts
@@ -9,7 +9,7 @@
  * Cancellation versions, which are never armed, are odd. Whoever finds one
  * prepared knows that no switch follows.
  *
- * The store may issue the same generations again after it is restored from an
+ * The store may issue the same generations again after it is rolled back to an
  * older copy, so its era forms the high-order part of the number. If one
  * version named two maps, a step could begin with both.
  */
--- a/src/rankmaps/pace-reporter.ts
+++ b/src/rankmaps/pace-reporter.ts
@@ -1,23 +1,26 @@
 /** Publishes which ranks of a group are slow, for the entries to read. */
 import { toFailure, type Emit, type Now } from "../internal.js";
-import { orderOfLives, type LifeStart } from "../membership/life.js";
 import {
-  NOTE_LASTS_MS,
-  SLOW_FROM,
+  compareIncarnations,
+  type IncarnationStart,
+} from "../membership/incarnation.js";
+import {
+  PACE_NOTE_TTL_MS,
+  SLOW_THRESHOLD,
   encodePaceNote,
   type PaceNote,
 } from "../membership/slow-runners.js";
 import type { KeyedWriter } from "../platform/keyed-topic.js";
 
 /** A slow rank's note is refreshed well before it expires, ms. */
-const REFRESH_INTERVAL_MS = NOTE_LASTS_MS / 2;
+const REFRESH_INTERVAL_MS = PACE_NOTE_TTL_MS / 2;
 /**
  * Slowness below which a slow rank has recovered; in between, its status stays.
  */
 const RECOVERED_BELOW = 1.25;
 
 /**
- * Notes written within this time may be lost when the store is restored from an
+ * Notes written within this time may be lost when the store is rolled back to an
  * older copy, ms.
  */
 const STORE_LOSS_WINDOW_MS = 60_000;
@@ -30,7 +33,7 @@
 
 /** The last note published for a slow rank. */
 interface WrittenNote {
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
   /** Monotonic, ms. */
   readonly atMs: number;
 }
@@ -40,7 +43,7 @@
   private readonly slowNotes = new Map<string, WrittenNote>();
   /** Time of the last write for each address, monotonic, ms. */
   private readonly writtenAtMs = new Map<string, number>();
-  /** Addresses whose notes may have been lost when the store was restored. */
+  /** Addresses whose notes may have been lost in a rollback of the store. */
   private readonly possiblyLost = new Set<string>();
   private isWriting = false;
 
@@ -51,11 +54,11 @@
   }
 
   /**
-   * Call after the store was restored from an older copy. Recent notes are
+   * Call after the store was rolled back to an older copy. Recent notes are
    * written again, including those of recovered ranks, which the copy may list
    * as slow.
    */
-  onStoreRestored(): void {
+  onStoreRolledBack(): void {
     const sinceMs = this.options.now() - STORE_LOSS_WINDOW_MS;
     for (const [address, atMs] of this.writtenAtMs) {
       if (atMs >= sinceMs) this.possiblyLost.add(address);
@@ -75,11 +78,11 @@
   private isDue({ address, slowness, startedAtMs }: PaceNote): boolean {
     if (this.possiblyLost.has(address)) return true;
     const noted = this.slowNotes.get(address);
-    if (noted === undefined) return slowness >= SLOW_FROM;
-    const order = orderOfLives(noted.startedAtMs, startedAtMs);
+    if (noted === undefined) return slowness >= SLOW_THRESHOLD;
+    const order = compareIncarnations(noted.startedAtMs, startedAtMs);
     const sinceMs = this.options.now() - noted.atMs;
     // An expired, unrefreshed note means that the clock was set back.
-    if (order === "earlier") return sinceMs >= NOTE_LASTS_MS;
+    if (order === "earlier") return sinceMs >= PACE_NOTE_TTL_MS;
     // A note about an earlier incarnation doesn't apply to this one.
     if (order === "later" || slowness < RECOVERED_BELOW) return true;
     return sinceMs >= REFRESH_INTERVAL_MS;
@@ -93,7 +96,7 @@
         await notes.put(note.address, encodePaceNote(note));
         const { address, slowness, startedAtMs } = note;
         this.markWritten(address);
-        if (!this.hasSlowNote(note) || slowness < SLOW_FROM) {
+        if (!this.hasSlowNote(note) || slowness < SLOW_THRESHOLD) {
           emit(224, { address, slowness });
         }
         const isSlow = slowness >= this.slowThreshold(note);
@@ -115,10 +118,10 @@
   private hasSlowNote({ address, startedAtMs }: PaceNote): boolean {
     const noted = this.slowNotes.get(address);
     if (noted === undefined) return false;
-    return orderOfLives(noted.startedAtMs, startedAtMs) === "same";
+    return compareIncarnations(noted.startedAtMs, startedAtMs) === "same";
   }
 
   private slowThreshold(note: PaceNote): number {
-    return this.hasSlowNote(note) ? RECOVERED_BELOW : SLOW_FROM;
+    return this.hasSlowNote(note) ? RECOVERED_BELOW : SLOW_THRESHOLD;
   }
 }
--- a/src/rankmaps/planner-seat.ts
+++ b/src/rankmaps/planner-lease.ts
@@ -5,8 +5,8 @@
  *
  * While the store is unreachable the holder keeps planning. Nobody else can get
  * the lease then, and if the store has granted it to someone else unnoticed,
- * the orders of that newer generation fence ours. When the store is restored
- * from an older copy, it may grant the lease under a generation that was used
+ * the orders of that newer generation fence ours. When the store is rolled
+ * back to an older copy, it may grant the lease under a generation that was used
  * before, so a holder loses the lease until the store grants it again.
  */
 import { pause } from "../daemon/background-task.js";
@@ -19,26 +19,26 @@
 import { FIRST_ERA } from "../platform/store-era.js";
 import { generationAcrossEras, hasSafeVersions } from "./map-versions.js";
 
-export interface SeatAssignment {
+export interface LeaseAssignment {
   /** Increases with each change within one era of the store. */
   readonly generation: number;
   readonly era: number;
   readonly isHolder: boolean;
 }
 
-export interface SeatService {
+export interface LeaseService {
   /** Joins the group or renews the membership. Throws 1901. */
   readonly join: (
     group: string,
     member: string,
     generation: number,
     leaseMs: number,
-  ) => Promise<SeatAssignment>;
+  ) => Promise<LeaseAssignment>;
   readonly leave: (group: string, member: string) => Promise<void>;
 }
 
 export interface PlannerLeaseOptions {
-  readonly service: SeatService;
+  readonly service: LeaseService;
   readonly emit: Emit;
   /** Latest era of the store reported by any of its responses. */
   readonly era: () => number;
@@ -75,14 +75,14 @@
   return Math.min(settledMs, UNSETTLED_INTERVAL_MS);
 }
 
-const NO_ASSIGNMENT: SeatAssignment = {
+const NO_ASSIGNMENT: LeaseAssignment = {
   generation: 0,
   era: FIRST_ERA,
   isHolder: false,
 };
 
 export class PlannerLease {
-  private assignment: SeatAssignment = NO_ASSIGNMENT;
+  private assignment: LeaseAssignment = NO_ASSIGNMENT;
   private relinquished = -1;
   /** Whether the store may list this process as a member of the group. */
   private isMember = false;
@@ -182,7 +182,7 @@
     this.clearAssignment();
   }
 
-  private updateAssignment(next: SeatAssignment): void {
+  private updateAssignment(next: LeaseAssignment): void {
     const { emit } = this.options;
     const before = this.assignment;
     const fencing = this.fullGeneration;
--- a/src/rankmaps/rank-messages.ts
+++ b/src/rankmaps/rank-messages.ts
@@ -1,7 +1,7 @@
 /**
  * Converts between the types of this module and the messages between agents.
  */
-import { orderOfLives } from "../membership/life.js";
+import { compareIncarnations } from "../membership/incarnation.js";
 import type {
   ObserveReply,
   RankOrderReply,
@@ -28,7 +28,7 @@
   held: HeldExperts | undefined,
 ): RankExperts {
   if (held === undefined) return [];
-  const order = orderOfLives(state.startedAtMs, held.startedAtMs);
+  const order = compareIncarnations(state.startedAtMs, held.startedAtMs);
   return order === "same" ? held.experts : [];
 }
 
--- a/src/rankmaps/reachable-rank.ts
+++ b/src/rankmaps/reachable-rank.ts
@@ -10,7 +10,7 @@
  * done, a step could begin with this rank on the old map.
  */
 import { raise, type Now } from "../internal.js";
-import type { LifeStart } from "../membership/life.js";
+import type { IncarnationStart } from "../membership/incarnation.js";
 import { LatestIncarnation } from "./latest-incarnation.js";
 import { expertsOfSameIncarnation } from "./rank-messages.js";
 import type {
@@ -67,7 +67,7 @@
   const { address, agent, runner, now, members } = options;
   const incarnations = LatestIncarnation.create(now);
   let retryAtMs = Number.NEGATIVE_INFINITY;
-  const checkIncarnation = (startedAtMs: LifeStart): void => {
+  const checkIncarnation = (startedAtMs: IncarnationStart): void => {
     const order = incarnations.observe(startedAtMs);
     if (order === "earlier")
       raise(1607, { address, reason: EARLIER_INCARNATION });
--- a/src/rankmaps/types.ts
+++ b/src/rankmaps/types.ts
@@ -4,11 +4,11 @@
  * request.
  */
 
-import type { LifeStart } from "../membership/life.js";
+import type { IncarnationStart } from "../membership/incarnation.js";
 
 /** Reported by one incarnation of a runner; not valid for a later one. */
 export interface IncarnationScoped {
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
 }
 
 export interface ArmedMap {
@@ -161,5 +161,5 @@
    */
   readonly hold: (hold: WatchedHold) => Promise<OrderResult>;
   /** Whether a later incarnation of the runner has been seen. */
-  readonly isSuperseded: (startedAtMs: LifeStart) => boolean;
+  readonly isSuperseded: (startedAtMs: IncarnationStart) => boolean;
 }
--- a/src/routing/newest-configuration.ts
+++ b/src/routing/newest-configuration.ts
@@ -7,7 +7,7 @@
 import type { KeyedRecord } from "../platform/keyed-topic.js";
 import type { SiteConfiguration } from "./types.js";
 
-export interface ConfigurationSource {
+export interface NewestConfigurationOptions {
   /** Key of the configuration's records. */
   readonly key: string;
   /** Throws 1903 for a record that can't be decoded. */
@@ -26,7 +26,7 @@
 /** Returns undefined if no configuration can be read. Doesn't throw. */
 export function newestConfiguration(
   records: readonly KeyedRecord[],
-  { key, decode, onUnreadable }: ConfigurationSource,
+  { key, decode, onUnreadable }: NewestConfigurationOptions,
 ): SiteConfiguration | undefined {
   for (const record of [...records].reverse()) {
     const { value } = record;
--- a/src/routing/route-table.ts
+++ b/src/routing/route-table.ts
@@ -48,7 +48,7 @@
   }
 
   /** Whether the service is configured or has a share of a route. */
-  namesService(service: string): boolean {
+  hasService(service: string): boolean {
     return this.serviceNames.has(service);
   }
 
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -33,7 +33,7 @@
 }
 
 /** Properties of a service's engines, set by the operator. */
-export interface EngineFigures {
+export interface EngineProperties {
   /** Requests that an engine runs in one batch. */
   readonly slots: number;
   /** Engine steps per pass while answers are running. */
@@ -54,7 +54,7 @@
   /** Maximum number of connections that a runner accepts from all callers. */
   readonly maximumConnections: number;
   /** Undefined for plain services. */
-  readonly engine: EngineFigures | undefined;
+  readonly engine: EngineProperties | undefined;
 }
 
 export interface ClientAccount {
--- a/src/session/agent-gate.ts
+++ b/src/session/agent-gate.ts
@@ -60,12 +60,15 @@
     private readonly limits: SessionLimits,
   ) {
     const { perform, without } = options;
-    const { rememberMs, rememberAttempts } = limits;
+    const { attemptRetentionMs, maximumRememberedAttempts } = limits;
     this.runs = AgentRuns.create(perform, limits, without);
-    this.withdrawn = AttemptMemory.create(rememberMs, rememberAttempts);
+    this.withdrawn = AttemptMemory.create(
+      attemptRetentionMs,
+      maximumRememberedAttempts,
+    );
     this.startedNonRepeatable = AttemptMemory.create(
-      rememberMs,
-      rememberAttempts,
+      attemptRetentionMs,
+      maximumRememberedAttempts,
     );
     this.drops = DropCounter.create(options.emit);
   }
@@ -227,7 +230,7 @@
   tick(now: number): void {
     const pauseMs = now - (this.lastTickAt ?? now);
     this.lastTickAt = now;
-    const wasPaused = pauseMs >= this.limits.silentAfterMs;
+    const wasPaused = pauseMs >= this.limits.silenceTimeoutMs;
     for (const session of this.sessionsByKey.values()) {
       if (wasPaused) session.lastReceivedAt = now;
       this.tickSession(session, now);
@@ -428,12 +431,14 @@
   }
 
   private tickSession(session: AgentSession, now: number): void {
-    const { silentAfterMs, heartbeatMs, proofMs } = this.limits;
+    const { silenceTimeoutMs, heartbeatMs, closedSessionRetentionMs } =
+      this.limits;
     if (!session.isLive) {
-      if (now - session.closedAt > proofMs) this.forgetSession(session);
+      if (now - session.closedAt > closedSessionRetentionMs)
+        this.forgetSession(session);
       return;
     }
-    if (now - session.lastReceivedAt > silentAfterMs)
+    if (now - session.lastReceivedAt > silenceTimeoutMs)
       this.endSession(session, now);
     else if (now - session.lastSentAt >= heartbeatMs) {
       this.send(session, { kind: "heartbeat" }, now);
@@ -475,15 +480,17 @@
    * before that, outcomes that could be "not-run" would become "unknown".
    */
   private isStillNeeded(now: number): boolean {
-    const { doubtMs, resumeMs } = this.limits;
+    const { closeTimeoutMs, resumeTimeoutMs } = this.limits;
     if (this.options.without === "leaving-seen") return false;
     for (const session of this.sessionsByKey.values()) {
       const { isLive, isCloseConfirmed, leavingSeen, started, closedAt } =
         session;
       if (isLive && (!leavingSeen || started.size > 0)) return true;
       const closedForMs = now - closedAt;
-      if (!isLive && !isCloseConfirmed && closedForMs < doubtMs) return true;
-      if (!isLive && started.size > 0 && closedForMs < resumeMs) return true;
+      if (!isLive && !isCloseConfirmed && closedForMs < closeTimeoutMs)
+        return true;
+      if (!isLive && started.size > 0 && closedForMs < resumeTimeoutMs)
+        return true;
     }
     return false;
   }
--- a/src/session/agent-runs.ts
+++ b/src/session/agent-runs.ts
@@ -158,11 +158,15 @@
     if (run === undefined) return;
     this.markStarted(run);
     const index = run.pieceCount;
-    this.totalBufferedBytes += bufferPiece(run, data, this.limits.holdRunBytes);
+    this.totalBufferedBytes += bufferPiece(
+      run,
+      data,
+      this.limits.runBufferBytes,
+    );
     if (index >= run.sendFromIndex) {
       this.send(run, { kind: "piece", attempt: run.attempt, index, data });
     }
-    if (this.totalBufferedBytes > this.limits.holdTotalBytes)
+    if (this.totalBufferedBytes > this.limits.totalBufferBytes)
       this.freeBuffers();
   }
 
@@ -211,13 +215,16 @@
     return attempt;
   }
 
-  /** Removes finished runs, and cancels unread ones, after the hold time. */
+  /** Removes finished runs, and cancels unread ones, after their retention time. */
   tick(now: number): void {
-    const { holdMs } = this.limits;
+    const { answerRetentionMs } = this.limits;
     for (const run of this.byId.values()) {
       if (isFinished(run)) {
-        if (now - run.endedAt > holdMs) this.remove(run);
-      } else if (run.call.repeatable && now - run.detachedAt > holdMs) {
+        if (now - run.endedAt > answerRetentionMs) this.remove(run);
+      } else if (
+        run.call.repeatable &&
+        now - run.detachedAt > answerRetentionMs
+      ) {
         this.perform({ kind: "cancel-run", run: run.id });
         this.remove(run);
       }
@@ -287,8 +294,14 @@
   private sendEnd(run: Run): void {
     const { attempt, pieceCount: count, checksum } = run;
     // A resend replaces the head, so it belongs to the answer that ended.
-    const isVouched = run.head?.isEndMarked ?? false;
-    this.send(run, { kind: "end", attempt, count, checksum, isVouched });
+    const isEndMarked = run.head?.isEndMarked ?? false;
+    this.send(run, {
+      kind: "end",
+      attempt,
+      count,
+      checksum,
+      isEndMarked,
+    });
   }
 
   /**
@@ -298,7 +311,7 @@
    * sessions keep their started attempts, so replies to a close stay correct.
    */
   private freeBuffers(): void {
-    const target = this.limits.holdTotalBytes / 2;
+    const target = this.limits.totalBufferBytes / 2;
     for (const repeatable of [true, false]) {
       for (const run of this.byId.values()) {
         if (this.totalBufferedBytes <= target) return;
--- a/src/session/entry-answers.ts
+++ b/src/session/entry-answers.ts
@@ -150,7 +150,7 @@
   frame: Frame<"end">,
 ): boolean {
   if (!context.checksEndMark) return true;
-  return frame.isVouched || request.isClosedByEvent;
+  return frame.isEndMarked || request.isClosedByEvent;
 }
 
 /**
--- a/src/session/entry-attempts.ts
+++ b/src/session/entry-attempts.ts
@@ -56,7 +56,7 @@
   awaitResume(link: EntryLink, request: RequestState, now: number): void {
     releaseAttempt(request);
     request.phase = "resuming";
-    request.giveUpAt = now + this.limits.resumeMs;
+    request.giveUpAt = now + this.limits.resumeTimeoutMs;
     link.requestsToResume.add(request);
     if (link.isLive) this.resume(request, now);
   }
@@ -68,7 +68,7 @@
     releaseAttempt(request);
     link.requestsToResume.delete(request);
     request.resumeCount += 1;
-    if (request.resumeCount > this.limits.resumes) {
+    if (request.resumeCount > this.limits.maximumResumptions) {
       this.requests.abandonRun(request, 1217, "broken", now);
       return;
     }
--- a/src/session/entry-link.ts
+++ b/src/session/entry-link.ts
@@ -158,7 +158,7 @@
     const lost: LostSession = {
       session,
       attempts: outstanding,
-      giveUpAt: now + this.limits.doubtMs,
+      giveUpAt: now + this.limits.closeTimeoutMs,
       nextCloseAt: now,
     };
     this.lostSessions.set(number, lost);
@@ -173,9 +173,12 @@
         if (now >= this.reconnectAt) this.connect(now);
         return undefined;
       case "connecting":
-        return now - this.stateSince > limits.openMs ? "not-opened" : undefined;
+        return now - this.stateSince > limits.openTimeoutMs
+          ? "not-opened"
+          : undefined;
       case "live":
-        if (now - this.lastReceivedAt > limits.silentAfterMs) return "silent";
+        if (now - this.lastReceivedAt > limits.silenceTimeoutMs)
+          return "silent";
         if (now - this.lastHeartbeatAt >= limits.heartbeatMs) {
           this.sendHeartbeat(now);
         }
@@ -198,10 +201,10 @@
       this.reconnectAt = now;
       return;
     }
-    const { reconnectMs, reconnectMaximumMs } = this.limits;
+    const { reconnectBackoffMs, reconnectBackoffMaximumMs } = this.limits;
     const backoffMs = Math.min(
-      reconnectMs * 2 ** this.consecutiveFailures,
-      reconnectMaximumMs,
+      reconnectBackoffMs * 2 ** this.consecutiveFailures,
+      reconnectBackoffMaximumMs,
     );
     this.consecutiveFailures += 1;
     this.reconnectAt = now + backoffMs * (0.5 + this.random() / 2);
--- a/src/session/entry-requests.ts
+++ b/src/session/entry-requests.ts
@@ -90,7 +90,7 @@
     now: number,
   ): void {
     const previous = this.detachRun(request, "refused", true);
-    if (request.dispatchCount >= this.limits.placements) {
+    if (request.dispatchCount >= this.limits.maximumDispatches) {
       this.failRequest(request, error, now, retryAfterMs);
       return;
     }
@@ -116,7 +116,7 @@
     const previous = this.detachRun(request, result, false);
     const mustFail =
       !mayRestart ||
-      request.dispatchCount >= this.limits.placements ||
+      request.dispatchCount >= this.limits.maximumDispatches ||
       !this.dependencies.mayRetry(request.call);
     if (mustFail) {
       this.failRequest(request, error, now);
@@ -179,14 +179,14 @@
   private detachRun(
     request: RequestState,
     result: RunResult,
-    provedNotRun: boolean,
+    isProvenNotRun: boolean,
   ): PreviousAttempt | undefined {
     const { attempt, run, link } = request;
     releaseAttempt(request);
     link?.requestsToResume.delete(request);
     this.byAttempt.delete(attempt);
     request.link = undefined;
-    if (provedNotRun) request.startEvidence = "none";
+    if (isProvenNotRun) request.startEvidence = "none";
     resetRun(request);
     if (link === undefined || run === "") return undefined;
     const { runner } = link;
@@ -198,6 +198,6 @@
       runner,
       result,
     });
-    return { attempt, runner, provedNotRun };
+    return { attempt, runner, isProvenNotRun };
   }
 }
--- a/src/session/entry-sessions.ts
+++ b/src/session/entry-sessions.ts
@@ -16,7 +16,7 @@
 import { EntryRequests } from "./entry-requests.js";
 import { type RequestState } from "./request-state.js";
 import type {
-  Dispatched,
+  DispatchResult,
   DispatchOptions,
   EntrySessionsOptions,
 } from "./entry-types.js";
@@ -136,7 +136,7 @@
     runner: string,
     now: number,
     options: DispatchOptions = {},
-  ): Dispatched {
+  ): DispatchResult {
     const request = this.requests.byId.get(id);
     if (request?.phase !== "placing") return Left(failure(1201));
     if (now >= request.deadlineAt) {
@@ -275,7 +275,7 @@
     for (const link of this.links.values()) {
       // After a pause of this process, frames that arrived meanwhile are still
       // unread; checking for silence first would end every session at once.
-      if (pauseMs >= this.limits.silentAfterMs) link.resetSilenceTimer(now);
+      if (pauseMs >= this.limits.silenceTimeoutMs) link.resetSilenceTimer(now);
       this.tickLink(link, now);
     }
     for (const request of this.requests.byId.values()) {
--- a/src/session/entry-types.ts
+++ b/src/session/entry-types.ts
@@ -102,7 +102,7 @@
   readonly attempt: string;
   readonly runner: string;
   /** The attempt never started and never will. */
-  readonly provedNotRun: boolean;
+  readonly isProvenNotRun: boolean;
 }
 
 /**
@@ -140,4 +140,4 @@
 }
 
 /** The attempt ID, or the reason why nothing was sent. */
-export type Dispatched = Either<ApricotdeckError, string>;
+export type DispatchResult = Either<ApricotdeckError, string>;
--- a/src/session/limits.ts
+++ b/src/session/limits.ts
@@ -7,37 +7,37 @@
    */
   readonly heartbeatMs: number;
   /** A side that receives nothing for this long ends the session. */
-  readonly silentAfterMs: number;
+  readonly silenceTimeoutMs: number;
   /** Timeout for the agent's reply to the opening of a session. */
-  readonly openMs: number;
+  readonly openTimeoutMs: number;
   /** Initial and maximum backoff between connection attempts. */
-  readonly reconnectMs: number;
-  readonly reconnectMaximumMs: number;
+  readonly reconnectBackoffMs: number;
+  readonly reconnectBackoffMaximumMs: number;
   /** Timeout for the agent to confirm the close of a lost session. */
-  readonly doubtMs: number;
+  readonly closeTimeoutMs: number;
   /** Timeout for a new session on which a started run can be resumed. */
-  readonly resumeMs: number;
+  readonly resumeTimeoutMs: number;
   /** Delay before an unanswered close is retried. */
-  readonly closeAgainMs: number;
+  readonly closeRetryMs: number;
   /** Maximum dispatches of one request, including refused ones. */
-  readonly placements: number;
+  readonly maximumDispatches: number;
   /** Maximum resumptions of one request. */
-  readonly resumes: number;
+  readonly maximumResumptions: number;
   /** How long an agent keeps an answer that no entry reads. */
-  readonly holdMs: number;
+  readonly answerRetentionMs: number;
   /** Maximum bytes that an agent buffers per answer, and in total. */
-  readonly holdRunBytes: number;
-  readonly holdTotalBytes: number;
+  readonly runBufferBytes: number;
+  readonly totalBufferBytes: number;
   /** How long an agent keeps the state of a closed session. */
-  readonly proofMs: number;
+  readonly closedSessionRetentionMs: number;
   /**
    * Retention and maximum number of the attempts that an agent has withdrawn,
    * and likewise of those that it has started as work that may run at most
    * once. The retention exceeds the longest deadline, after which no entry
    * dispatches the attempt any more.
    */
-  readonly rememberMs: number;
-  readonly rememberAttempts: number;
+  readonly attemptRetentionMs: number;
+  readonly maximumRememberedAttempts: number;
 }
 
 /**
@@ -51,19 +51,19 @@
  */
 export const SESSION_LIMITS: SessionLimits = {
   heartbeatMs: 500,
-  silentAfterMs: 2_000,
-  openMs: 1_000,
-  reconnectMs: 100,
-  reconnectMaximumMs: 3_000,
-  doubtMs: 8_000,
-  resumeMs: 20_000,
-  closeAgainMs: 1_000,
-  placements: 6,
-  resumes: 8,
-  holdMs: 30_000,
-  holdRunBytes: 1_048_576,
-  holdTotalBytes: 33_554_432,
-  proofMs: 120_000,
-  rememberMs: 7_200_000,
-  rememberAttempts: 100_000,
+  silenceTimeoutMs: 2_000,
+  openTimeoutMs: 1_000,
+  reconnectBackoffMs: 100,
+  reconnectBackoffMaximumMs: 3_000,
+  closeTimeoutMs: 8_000,
+  resumeTimeoutMs: 20_000,
+  closeRetryMs: 1_000,
+  maximumDispatches: 6,
+  maximumResumptions: 8,
+  answerRetentionMs: 30_000,
+  runBufferBytes: 1_048_576,
+  totalBufferBytes: 33_554_432,
+  closedSessionRetentionMs: 120_000,
+  attemptRetentionMs: 7_200_000,
+  maximumRememberedAttempts: 100_000,
 };
--- a/src/session/lost-sessions.ts
+++ b/src/session/lost-sessions.ts
@@ -63,7 +63,7 @@
   /** The close got no reply; it is retried until the timeout. */
   closeFailed(link: EntryLink, number: number, now: number): void {
     const lost = link.lostSessions.get(number);
-    if (lost !== undefined) lost.nextCloseAt = now + this.limits.closeAgainMs;
+    if (lost !== undefined) lost.nextCloseAt = now + this.limits.closeRetryMs;
   }
 
   /** Retries pending closes and ends those that have timed out. */
--- a/src/session/types.ts
+++ b/src/session/types.ts
@@ -118,7 +118,7 @@
        * The backend server marked this as the end. False when its connection
        * was only closed: the answer may be complete or truncated by a crash.
        */
-      readonly isVouched: boolean;
+      readonly isEndMarked: boolean;
     }
   | {
       /** The attempt hasn't started and never will. */
--- a/src/suspects/suspect-notes.ts
+++ b/src/suspects/suspect-sync.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 import { toFailure, type Emit } from "../internal.js";
-import type { After } from "../membership/types.js";
+import type { ScheduleAfter } from "../membership/types.js";
 import { decodeJson } from "../platform/json-value.js";
 import type { KeyedRecord, KeyedWriter } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
@@ -56,7 +56,7 @@
   readonly suspects: SuspectRequests;
   readonly notes: KeyedWriter;
   readonly findings: RecordFindings;
-  readonly after: After;
+  readonly after: ScheduleAfter;
   readonly emit: Emit;
 }
 
--- a/src/suspects/suspect-desk.ts
+++ b/src/suspects/suspect-tracker.ts
@@ -3,19 +3,19 @@
  * sharing with the other entries.
  */
 import type { Emit, Measurements, Now } from "../internal.js";
-import type { After } from "../membership/types.js";
+import type { ScheduleAfter } from "../membership/types.js";
 import type { KeyedRecord, KeyedWriter } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
-import { CrashDetector, type CrashDetectorOptions } from "./crash-watch.js";
-import { SuspectSync } from "./suspect-notes.js";
+import { CrashDetector, type CrashDetectorOptions } from "./crash-detector.js";
+import { SuspectSync } from "./suspect-sync.js";
 import { SuspectRequests } from "./suspect-requests.js";
 
-export interface SuspectDeskOptions {
+export interface SuspectTrackerOptions {
   /** Name of this entry. */
   readonly name: string;
   readonly notes: KeyedWriter;
   readonly findings: RecordFindings;
-  readonly after: After;
+  readonly after: ScheduleAfter;
   readonly portState: CrashDetectorOptions["portState"];
   /** Unix ms. */
   readonly now: Now;
@@ -23,13 +23,13 @@
   readonly measurements: Measurements;
 }
 
-export class SuspectDesk {
+export class SuspectTracker {
   readonly requests: SuspectRequests;
   readonly crashes: CrashDetector;
   readonly now: Now;
   private readonly sync: SuspectSync;
 
-  private constructor(private readonly options: SuspectDeskOptions) {
+  private constructor(private readonly options: SuspectTrackerOptions) {
     const { now, emit, portState } = options;
     this.now = now;
     this.requests = SuspectRequests.create(now);
@@ -46,8 +46,8 @@
     });
   }
 
-  static create(options: SuspectDeskOptions): SuspectDesk {
-    return new SuspectDesk(options);
+  static create(options: SuspectTrackerOptions): SuspectTracker {
+    return new SuspectTracker(options);
   }
 
   /** A suspect completed. `request`: attempt id of its caller. */
@@ -57,12 +57,12 @@
   }
 
   /** Applies records of this entry and of the others. */
-  take(records: readonly KeyedRecord[]): void {
+  apply(records: readonly KeyedRecord[]): void {
     this.sync.apply(records);
     this.updateGauge();
   }
 
-  onStoreReturned(): void {
+  onStoreRolledBack(): void {
     this.sync.onStoreRolledBack();
   }
 
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -8,14 +8,14 @@
  */
 import {
   expertsOf,
-  hashMap,
+  hashExpertMap,
   ranksOf,
   sameBallot,
   type Ballot,
   type EngineCall,
   type ExpertMap,
   type StepReport,
-  type WeightName,
+  type ExpertWeightId,
 } from "../src/internal.js";
 import { MapRegister, type RegisterAnswer } from "./map-register.js";
 
@@ -122,7 +122,7 @@
 
   putWeight(
     member: string,
-    weight: WeightName,
+    weight: ExpertWeightId,
     offset: number,
     length: number,
   ): number | undefined {
--- a/standins/keyed-store.ts
+++ b/standins/keyed-store.ts
@@ -9,7 +9,7 @@
   type ServerResponse,
 } from "node:http";
 import { headerNames, paths } from "../platform/names.js";
-import { listen, type Listening } from "../src/daemon/listening.js";
+import { listen, type ListeningServer } from "../src/daemon/listening.js";
 
 interface StoredRecord {
   readonly key: string;
@@ -78,7 +78,7 @@
   /** Call count by path, including refused calls. */
   readonly calls = new Map<string, number>();
   private readonly topics = new Map<string, Topic>();
-  private listening: Listening | undefined;
+  private listening: ListeningServer | undefined;
 
   private constructor() {
     // Instances are created by `create`.
--- a/standins/map-register.ts
+++ b/standins/map-register.ts
@@ -4,7 +4,7 @@
  */
 import {
   compareBallots,
-  hashMap,
+  hashExpertMap,
   higherBallot,
   lowestBallot,
   ranksOf,
@@ -20,7 +20,7 @@
   type ExpertMap,
   type GroupMember,
   type Proposal,
-  type WeightName,
+  type ExpertWeightId,
 } from "../src/internal.js";
 
 export interface RegisterSettings {
@@ -45,7 +45,7 @@
 interface StagingSet {
   readonly hash: string;
   readonly bytes: Map<string, number>;
-  readonly weights: readonly WeightName[];
+  readonly weights: readonly ExpertWeightId[];
 }
 
 export class MapRegister {
@@ -249,7 +249,7 @@
     const { formation, members, version, map } = call;
     if (sameBallot(this.group, formation)) return true;
     if (!sameBallot(this.sealed, formation)) return false;
-    const hash = hashMap(map);
+    const hash = hashExpertMap(map);
     if (this.staging?.hash !== hash || !this.isComplete(this.staging)) {
       return false;
     }
--- a/standins/signing-runner.ts
+++ b/standins/signing-runner.ts
@@ -9,7 +9,7 @@
   type ServerResponse,
 } from "node:http";
 import { headerNames } from "../platform/names.js";
-import { listen, type Listening } from "../src/daemon/listening.js";
+import { listen, type ListeningServer } from "../src/daemon/listening.js";
 
 /** A request as received by the runner. */
 export interface ReceivedRequest {
--- a/tests/admission/admission.test.ts
+++ b/tests/admission/admission.test.ts
@@ -29,7 +29,7 @@
     now: () => time.nowMs,
     random: createRandom(3),
     emit: ignoreEvents,
-    entries: () => entries,
+    countLiveEntries: () => entries,
     start: (request) => {
       if (harness.room.count === 0) return false;
       harness.room.count -= 1;
@@ -206,7 +206,7 @@
     const first = request();
     harness.admission.offer(first);
     harness.admission.offer(request());
-    harness.admission.putBack(first);
+    harness.admission.requeue(first);
     harness.room.count = 1;
     harness.admission.drain("drafting");
     assert.is(harness.started.at(-1), first);
--- a/tests/admission/retries.test.ts
+++ b/tests/admission/retries.test.ts
@@ -14,7 +14,7 @@
 
 function spendAll(allowance: RetryAllowance): number {
   let spent = 0;
-  while (allowance.spend(1) !== undefined) spent += 1;
+  while (allowance.takeRetry(1) !== undefined) spent += 1;
   return spent;
 }
 
@@ -25,7 +25,7 @@
   it("limits retries in an outage, however long it lasts", () => {
     const allowance = create();
     assert.is(spendAll(allowance), 20);
-    assert.is(allowance.spend(1), undefined);
+    assert.is(allowance.takeRetry(1), undefined);
   });
 
   it("is refilled by one retry per ten complete answers", () => {
@@ -36,12 +36,15 @@
   });
 
   it("limits a request to four attempts", () => {
-    assert.is(create().spend(4), undefined);
+    assert.is(create().takeRetry(4), undefined);
   });
 
   it("randomises the delays", () => {
     const allowance = create();
-    const delays = Array.from({ length: 10 }, () => allowance.spend(3) ?? -1);
+    const delays = Array.from(
+      { length: 10 },
+      () => allowance.takeRetry(3) ?? -1,
+    );
     assert.is(new Set(delays).size, 10);
     assert.ok(delays.every((delay) => delay >= 0 && delay < 100));
   });
@@ -56,12 +59,12 @@
       return `entry-${entries - 1}`;
     };
     let others = 0;
-    while (limit.enter(5, nextEntry())) others += 1;
+    while (limit.tryAcquire(5, nextEntry())) others += 1;
     let first = 0;
-    while (limit.enter(0, nextEntry())) first += 1;
+    while (limit.tryAcquire(0, nextEntry())) first += 1;
     assert.equal([others, first], [10, 2]);
-    for (let index = 0; index < 3; index += 1) limit.leave(`entry-${index}`);
-    assert.ok(limit.enter(5, nextEntry()));
+    for (let index = 0; index < 3; index += 1) limit.release(`entry-${index}`);
+    assert.ok(limit.tryAcquire(5, nextEntry()));
   });
 
   // Guards against the entry that filled the runners first keeping them by
@@ -70,11 +73,11 @@
   it("favours the entry with fewer requests once the slots are in use", () => {
     const limit = AgentLimit.create({ slots: 8, queueShare: 1 });
     for (let index = 0; index < 7; index += 1) {
-      assert.ok(limit.enter(5, "early"));
+      assert.ok(limit.tryAcquire(5, "early"));
     }
-    assert.ok(limit.enter(5, "late"));
-    assert.not(limit.enter(5, "early"));
-    assert.ok(limit.enter(5, "late"));
-    assert.ok(limit.enter(0, "early"));
+    assert.ok(limit.tryAcquire(5, "late"));
+    assert.not(limit.tryAcquire(5, "early"));
+    assert.ok(limit.tryAcquire(5, "late"));
+    assert.ok(limit.tryAcquire(0, "early"));
   });
 });
--- a/tests/balance/reports.test.ts
+++ b/tests/balance/reports.test.ts
@@ -2,7 +2,7 @@
 import {
   Balancer,
   collectTokens,
-  levelRequests,
+  distributeRequests,
   LoadForecast,
   RankSpeeds,
   UNKNOWN_TOKENS,
@@ -217,12 +217,12 @@
 describe("request shares", () => {
   it("even out expert work and speed", () => {
     const work = { expertTokens: [10, 20, 60], speeds: [1, 1, 0.5] };
-    const shares = levelRequests(work, 30);
+    const shares = distributeRequests(work, 30);
     assert.equal([...shares], [20, 10, 0]);
   });
 
   it("use every rank when there is enough request work", () => {
     const work = { expertTokens: [10, 20, 30], speeds: [1, 1, 1] };
-    assert.equal([...levelRequests(work, 60)], [30, 20, 10]);
+    assert.equal([...distributeRequests(work, 60)], [30, 20, 10]);
   });
 });
--- a/tests/callers/bad-input.test.ts
+++ b/tests/callers/bad-input.test.ts
@@ -5,7 +5,7 @@
   siteConfiguration,
 } from "../../demo/configurations.js";
 import { createCallerServer } from "../../src/daemon/entry/caller-server.js";
-import { listen, type Listening } from "../../src/daemon/listening.js";
+import { listen, type ListeningServer } from "../../src/daemon/listening.js";
 import {
   parseSettings,
   type EntrySettings,
@@ -69,7 +69,7 @@
       return Promise.resolve();
     },
   });
-  const listening: Listening = await listen(server, {
+  const listening: ListeningServer = await listen(server, {
     host: "127.0.0.1",
     port: 0,
   });
--- a/tests/configuration/follower-site.ts
+++ b/tests/configuration/follower-site.ts
@@ -115,7 +115,12 @@
   const { signal } = stop;
   const tasks = [
     runTask({ name: "follow", emit, signal, run: (s) => follower.run(s) }),
-    runTask({ name: "feed", emit, signal, run: (s) => follower.beat(s) }),
+    runTask({
+      name: "feed",
+      emit,
+      signal,
+      run: (s) => follower.sendHeartbeats(s),
+    }),
   ];
   return {
     name,
--- a/tests/configuration/follower.test.ts
+++ b/tests/configuration/follower.test.ts
@@ -129,7 +129,7 @@
         assert.ok(other);
         const { address, dataCentre } = other;
         const vm = { name: other.name, address, dataCentre, operators: "" };
-        follower.useList([{ ...vm, role: "entry", state: "live" }]);
+        follower.setVms([{ ...vm, role: "entry", state: "live" }]);
       }
       await until("fed", () =>
         [a, b].some((item) => sourceOf(item) === "peer"),
--- a/tests/daemon/answer-framing.test.ts
+++ b/tests/daemon/answer-framing.test.ts
@@ -4,7 +4,7 @@
 import {
   RESET_DELAY_MS,
   breakOff,
-  endWithConnection,
+  delimitByConnectionClose,
 } from "../../src/daemon/entry/answer-framing.js";
 import { listen } from "../../src/daemon/listening.js";
 import { describe, it } from "../support/describe.js";
@@ -31,7 +31,7 @@
     // the reset arrives while the last bytes are unread, an event loop that
     // finds bytes and a reset at once (libuv's) reports the bytes and an end.
     const server = createServer((_, response) => {
-      endWithConnection(response);
+      delimitByConnectionClose(response);
       breakOffAfterWrite(response);
     });
     await using listening = await listen(server, {
@@ -52,7 +52,7 @@
         setTimeout(() => response.end("first"), 4 * RESET_DELAY_MS);
         return;
       }
-      endWithConnection(response);
+      delimitByConnectionClose(response);
       response.write("half of");
       breakOff(response);
     });
--- a/tests/direct/pace-limit.test.ts
+++ b/tests/direct/concurrency-limit.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { ConcurrencyLimit } from "../../src/direct/pace-limit.js";
+import { ConcurrencyLimit } from "../../src/direct/concurrency-limit.js";
 import { sum } from "../../src/balance/numbers.js";
 import { createRandom, ignoreEvents, type Random } from "../../src/internal.js";
 import { describe, it } from "../support/describe.js";
--- a/tests/direct/request-scheduler.test.ts
+++ b/tests/direct/request-scheduler.test.ts
@@ -13,9 +13,9 @@
 import type { GroupOf } from "../../src/direct/service-groups.js";
 import { NO_GROUP } from "../../src/membership/runner-groups.js";
 import type { BackendServer } from "../../src/membership/types.js";
-import type { Call } from "../../src/direct/types.js";
+import type { DirectCall } from "../../src/direct/types.js";
 import { describe, it } from "../support/describe.js";
-import { routeOf } from "../routing/support.js";
+import { createRoute } from "../routing/support.js";
 import { unusedConnections } from "./unused-connections.js";
 
 const SLOTS = 4;
@@ -48,7 +48,7 @@
   return scheduler;
 }
 
-function callOf(id: string, fields: Partial<Call> = {}): Call {
+function callOf(id: string, fields: Partial<DirectCall> = {}): DirectCall {
   const arrivedAtMs = performance.now();
   return {
     id,
@@ -64,7 +64,7 @@
       outputTokens: 10,
       lastEventId: 0,
     },
-    route: routeOf({ kind: "stream", objectiveMs: 60 }),
+    route: createRoute({ kind: "stream", objectiveMs: 60 }),
     version: 1,
     service: "model",
     account: "account",
@@ -81,7 +81,7 @@
 
 async function admit(
   scheduler: RequestScheduler,
-  call: Call,
+  call: DirectCall,
 ): Promise<AdmitResult> {
   const entered = await scheduler.admit(call);
   return entered.caseOf<AdmitResult>({
@@ -222,7 +222,7 @@
     for (let index = 0; index < SLOTS; index += 1) {
       await admit(scheduler, callOf(`c${index}`));
     }
-    const route = routeOf({ kind: "stream", objectiveMs: 60_000 });
+    const route = createRoute({ kind: "stream", objectiveMs: 60_000 });
     const waiting = admit(scheduler, callOf("late", { route }));
     scheduler.cancel("late", {
       error: failure(1218),
--- a/tests/expertmap/recovery.test.ts
+++ b/tests/expertmap/recovery.test.ts
@@ -2,7 +2,7 @@
 import {
   createEvenMap,
   GroupFormation,
-  hashMap,
+  hashExpertMap,
   ignoreEvents,
   MapStaging,
   StagingFetch,
@@ -21,7 +21,7 @@
 ];
 const shape = { ranks: 2, layers: 1, experts: 2, slotsPerRank: 2 };
 const map = createEvenMap(shape);
-const mapHash = hashMap(map);
+const mapHash = hashExpertMap(map);
 const weights = weightsOf(map, [0]);
 
 const engineA = { member: "a", engine: "a#1", bytesPerExpert: 1 };
--- a/tests/expertmap/votes.test.ts
+++ b/tests/expertmap/votes.test.ts
@@ -2,7 +2,7 @@
 import {
   chooseMap,
   createEvenMap,
-  hashMap,
+  hashExpertMap,
   lowestBallot,
   mergeVotes,
   outcomeOf,
@@ -22,7 +22,7 @@
   id: { number: 1, author: "a#1" },
   group,
   version: 2,
-  mapHash: hashMap(nextMap),
+  mapHash: hashExpertMap(nextMap),
   step: 100,
   participants: [
     { member: "a", agent: "a#1" },
@@ -36,7 +36,7 @@
   members: [],
   sealed: group,
   version: 1,
-  mapHash: hashMap(currentMap),
+  mapHash: hashExpertMap(currentMap),
   since: 0,
   origin: null,
   armed: null,
--- a/tests/fuzz/expertmap.test.ts
+++ b/tests/fuzz/expertmap.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { expertmap, judge } from "../../fuzz/expertmap.js";
+import { expertmap, checkHistory } from "../../fuzz/expertmap.js";
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 300;
@@ -34,7 +34,7 @@
         { fault, wait: 55 },
         { fault, wait: 0 },
       ];
-      assert.equal(judge({ seed: 994943953, steps }), []);
+      assert.equal(checkHistory({ seed: 994943953, steps }), []);
     });
 
     // Guards against a group that is stuck forever: a member dies before its
@@ -60,7 +60,7 @@
         { fault: { kind: "replace", member: 0 }, wait: 0 },
         { fault: { kind: "store", ticks: 1 }, wait: 0 },
       ] as const;
-      assert.equal(judge({ seed: 1637078277, steps }), []);
+      assert.equal(checkHistory({ seed: 1637078277, steps }), []);
     });
 
     // Guards against a group that is stuck forever: one engine forgets a
@@ -92,7 +92,7 @@
         },
         { fault: { kind: "restartEngine", member: 0 }, wait: 9 },
       ] as const;
-      assert.equal(judge({ seed: 14, steps }), []);
+      assert.equal(checkHistory({ seed: 14, steps }), []);
     });
 
     // Guards against a group that is stuck forever: an engine restarts, and a
@@ -108,7 +108,7 @@
         { fault: { kind: "restartEngine", member: 0 }, wait: 0 },
         { fault: propose, wait: 0 },
       ] as const;
-      assert.equal(judge({ seed: 1085730743, steps }), []);
+      assert.equal(checkHistory({ seed: 1085730743, steps }), []);
     });
   });
 });
--- a/tests/fuzz/lives.test.ts
+++ b/tests/fuzz/lives.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { judgeLives, livesTarget } from "../../fuzz/membership/lives.js";
+import { checkLives, livesTarget } from "../../fuzz/membership/lives.js";
 import { describe, it } from "../support/describe.js";
 
 const RUNS = 1000;
@@ -21,7 +21,7 @@
           kind: "register",
           registration: {
             id: "a",
-            life: 0,
+            incarnation: 0,
             heartbeat: 1,
             place: 0,
             isLeaving: false,
@@ -32,7 +32,7 @@
         { kind: "remove", id: "a" },
         { kind: "wait", durationMs: 1100 },
       ] as const;
-      assert.equal(judgeLives({ mode: "told", steps }), []);
+      assert.equal(checkLives({ mode: "told", steps }), []);
     });
   });
 });
--- a/tests/fuzz/suspects.test.ts
+++ b/tests/fuzz/suspects.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { judgeSuspects, suspectsTarget } from "../../fuzz/suspects/suspects.js";
+import { checkSuspects, suspectsTarget } from "../../fuzz/suspects/suspects.js";
 import { describe, it } from "../support/describe.js";
 
 const RUNS = 2000;
@@ -30,7 +30,7 @@
         { kind: "share", from: 1, to: 2 },
         { kind: "share", from: 0, to: 2 },
       ] as const;
-      assert.equal(judgeSuspects({ steps }), []);
+      assert.equal(checkSuspects({ steps }), []);
     });
   });
 });
--- a/tests/membership/directory-incarnations.test.ts
+++ b/tests/membership/directory-incarnations.test.ts
@@ -39,16 +39,16 @@
       this.time.after(delayMs, action);
     },
     emit: ignoreEvents,
-    onServer: (server) => {
+    onServerAvailable: (server) => {
       this.active.set(server.id, server);
       this.calls.push(`server ${describeServer(server)}`);
     },
-    onGone: (id) => {
+    onServerUnavailable: (id) => {
       this.active.delete(id);
       this.calls.push(`gone ${id}`);
     },
     isServiceNamed: (service) => service === "model",
-    onEnded: (earlier, later) => {
+    onServerReplaced: (earlier, later) => {
       this.calls.push(
         `ended ${describeServer(earlier)} by ${describeServer(later)}`,
       );
--- a/tests/membership/directory.test.ts
+++ b/tests/membership/directory.test.ts
@@ -33,9 +33,9 @@
       this.time.after(delayMs, action);
     },
     emit: ignoreEvents,
-    onServer: ({ id }) => this.active.add(id),
-    onGone: (id) => this.active.delete(id),
-    onEnded: () => undefined,
+    onServerAvailable: ({ id }) => this.active.add(id),
+    onServerUnavailable: (id) => this.active.delete(id),
+    onServerReplaced: () => undefined,
     isServiceNamed: (service) => this.configuredServices.has(service),
   });
 
@@ -55,7 +55,7 @@
 
   /** The store was rolled back to a copy with these records. */
   rollBackTo(...servers: readonly Partial<BackendServer>[]): void {
-    this.directory.onStoreReturned(this.time.nowMs);
+    this.directory.onStoreRolledBack(this.time.nowMs);
     this.replaceAll(...servers);
   }
 
--- a/tests/membership/runner-groups.test.ts
+++ b/tests/membership/runner-groups.test.ts
@@ -49,12 +49,12 @@
     // A runner that keeps its old group's name would get requests by the pace
     // of the wrong group.
     const groups = RunnerGroups.create();
-    groups.take(OTHER);
-    assert.ok(groups.take(FIRST));
+    groups.apply(OTHER);
+    assert.ok(groups.apply(FIRST));
     const moved = { ...FIRST, name: "model.two" };
-    assert.ok(groups.take(moved));
+    assert.ok(groups.apply(moved));
     assert.is(groups.groupOf("10.0.0.1:80"), "model.two");
-    groups.take({ ...moved, epoch: 2, addresses: [] });
+    groups.apply({ ...moved, epoch: 2, addresses: [] });
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
   });
 
@@ -63,18 +63,18 @@
     // until its planner names it, and callers wouldn't wait for the group to be
     // available.
     const groups = RunnerGroups.create();
-    groups.take(FIRST);
+    groups.apply(FIRST);
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
-    groups.take(OTHER);
+    groups.apply(OTHER);
     assert.is(groups.groupOf("10.0.0.1:80"), FIRST.name);
-    groups.take({ ...OTHER, addresses: [] });
+    groups.apply({ ...OTHER, addresses: [] });
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
   });
 
   it("have been formed again only if the epoch differs", () => {
     const groups = RunnerGroups.create();
-    groups.take(FIRST);
-    assert.not.ok(groups.take(FIRST));
-    assert.ok(groups.take({ ...FIRST, epoch: 2 }));
+    groups.apply(FIRST);
+    assert.not.ok(groups.apply(FIRST));
+    assert.ok(groups.apply({ ...FIRST, epoch: 2 }));
   });
 });
--- a/tests/membership/slow-runners.test.ts
+++ b/tests/membership/slow-runners.test.ts
@@ -1,12 +1,12 @@
 import * as assert from "uvu/assert";
 import { ignoreEvents } from "../../src/internal.js";
 import {
-  NOTE_LASTS_MS,
+  PACE_NOTE_TTL_MS,
   SlowRunners,
   decodePaceNote,
   encodePaceNote,
 } from "../../src/membership/slow-runners.js";
-import type { LifeStart } from "../../src/membership/life.js";
+import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import { describe, it } from "../support/describe.js";
 
 const ADDRESS = "10.0.0.1:1";
@@ -17,7 +17,7 @@
 } {
   let nowMs = 0;
   const runners = SlowRunners.create(() => nowMs, ignoreEvents);
-  runners.take({ address: ADDRESS, slowness, startedAtMs: undefined });
+  runners.apply({ address: ADDRESS, slowness, startedAtMs: undefined });
   const at = (ms: number): void => {
     nowMs = ms;
   };
@@ -29,7 +29,7 @@
     const { runners } = createRunners(5);
     assert.ok(runners.isSlow(ADDRESS, undefined));
     assert.not.ok(runners.isSlow("10.0.0.2:1", undefined));
-    runners.take({ address: ADDRESS, slowness: 1, startedAtMs: undefined });
+    runners.apply({ address: ADDRESS, slowness: 1, startedAtMs: undefined });
     assert.not.ok(runners.isSlow(ADDRESS, undefined));
   });
 
@@ -37,9 +37,9 @@
     // The planner that wrote the note is gone, so nobody reports that the rank
     // has recovered. Excluded forever, its capacity would be lost to the group.
     const { runners, at } = createRunners(5);
-    at(NOTE_LASTS_MS - 1);
+    at(PACE_NOTE_TTL_MS - 1);
     assert.ok(runners.isSlow(ADDRESS, undefined));
-    at(NOTE_LASTS_MS);
+    at(PACE_NOTE_TTL_MS);
     assert.not.ok(runners.isSlow(ADDRESS, undefined));
   });
 
@@ -57,9 +57,9 @@
     function take(
       runners: SlowRunners,
       slowness: number,
-      startedAtMs: LifeStart,
+      startedAtMs: IncarnationStart,
     ): void {
-      runners.take({ address: ADDRESS, slowness, startedAtMs });
+      runners.apply({ address: ADDRESS, slowness, startedAtMs });
     }
 
     it("aren't slow by a note of the earlier incarnation", () => {
--- a/tests/orders/order-executor.test.ts
+++ b/tests/orders/order-executor.test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import {
   ignoreEvents,
-  OrderDesk,
+  OrderExecutor,
   type Order,
   type OrderEffect,
   type OrderReply,
@@ -18,9 +18,9 @@
   value,
 });
 
-function createExecutor(checksFencing: boolean): OrderDesk {
+function createExecutor(checksFencing: boolean): OrderExecutor {
   const engine = { checksFencing, effectMs: EFFECT_MS };
-  return OrderDesk.create(engine, ignoreEvents, START_MS);
+  return OrderExecutor.create(engine, ignoreEvents, START_MS);
 }
 
 function replies(effects: readonly OrderEffect[]): readonly OrderReply[] {
@@ -39,10 +39,14 @@
 });
 
 /** Sends an order and answers with a state that shows it. */
-function confirm(executor: OrderDesk, given: Order, now: number): OrderReply[] {
-  executor.take(given, now);
-  executor.answered(answerWith(given.value), now);
-  return [...replies(executor.answered(answerWith(given.value), now))];
+function confirm(
+  executor: OrderExecutor,
+  given: Order,
+  now: number,
+): OrderReply[] {
+  executor.submit(given, now);
+  executor.onAnswer(answerWith(given.value), now);
+  return [...replies(executor.onAnswer(answerWith(given.value), now))];
 }
 
 describe("orders of an agent", () => {
@@ -52,11 +56,11 @@
     // would accept it and replace the new model.
     it("refuses a paused holder's order after a newer one", () => {
       const executor = createExecutor(false);
-      executor.learn([order(9, "new")]);
+      executor.onOrdersRead([order(9, "new")]);
       const [reply] = confirm(executor, order(9, "new"), EFFECT_MS);
       assert.is(reply.kind, "confirmed");
       assert.equal(
-        errors(executor.take(order(5, "old"), EFFECT_MS + 1)),
+        errors(executor.submit(order(5, "old"), EFFECT_MS + 1)),
         [1701],
       );
     });
@@ -65,19 +69,19 @@
     // order arrives before the agent has read the log.
     it("sends no order before the log was read", () => {
       const executor = createExecutor(false);
-      assert.equal(errors(executor.take(order(5, "old"), EFFECT_MS)), [1702]);
-      executor.learn([order(9, "new")]);
-      assert.equal(errors(executor.take(order(5, "old"), EFFECT_MS)), [1701]);
+      assert.equal(errors(executor.submit(order(5, "old"), EFFECT_MS)), [1702]);
+      executor.onOrdersRead([order(9, "new")]);
+      assert.equal(errors(executor.submit(order(5, "old"), EFFECT_MS)), [1701]);
     });
 
     // The previous agent sent an order and ended. The order may reach the
     // engine after the first order of this agent was confirmed.
     it("waits until orders of the previous agent can't take effect", () => {
       const executor = createExecutor(false);
-      executor.learn([order(9, "new")]);
-      const early = executor.take(order(9, "new"), EFFECT_MS - 1);
+      executor.onOrdersRead([order(9, "new")]);
+      const early = executor.submit(order(9, "new"), EFFECT_MS - 1);
       assert.equal(errors(early), [1702]);
-      const effects = executor.take(order(9, "new"), EFFECT_MS);
+      const effects = executor.submit(order(9, "new"), EFFECT_MS);
       assert.is(effects.at(0)?.kind, "engine");
     });
 
@@ -85,33 +89,33 @@
     // newer one must not be confirmed before that time is over.
     it("sends no other order while one without a response can take effect", () => {
       const executor = createExecutor(false);
-      executor.learn([order(9, "new")]);
-      executor.take(order(9, "lost"), EFFECT_MS);
-      executor.failed(EFFECT_MS + 100);
-      const soon = executor.take(order(10, "new"), EFFECT_MS + 101);
+      executor.onOrdersRead([order(9, "new")]);
+      executor.submit(order(9, "lost"), EFFECT_MS);
+      executor.onCallFailed(EFFECT_MS + 100);
+      const soon = executor.submit(order(10, "new"), EFFECT_MS + 101);
       assert.equal(errors(soon), [1702]);
       const waited = 2 * EFFECT_MS + 100;
       const [call] = executor.tick(waited);
       assert.equal(call, { kind: "engine", call: { kind: "read" } });
       assert.equal(
-        errors(executor.answered(answerWith("before"), waited)),
+        errors(executor.onAnswer(answerWith("before"), waited)),
         [1703],
       );
-      const next = executor.take(order(10, "new"), waited);
+      const next = executor.submit(order(10, "new"), waited);
       assert.is(next.at(0)?.kind, "engine");
     });
   });
 
   describe("whose engine checks fencing tokens", () => {
     it("sends orders at once after a start", () => {
-      const effects = createExecutor(true).take(order(3, "new"), START_MS);
+      const effects = createExecutor(true).submit(order(3, "new"), START_MS);
       assert.is(effects.at(0)?.kind, "engine");
     });
 
     it("sends an order again at once when its response is lost", () => {
       const executor = createExecutor(true);
-      executor.take(order(3, "new"), START_MS);
-      executor.failed(100);
+      executor.submit(order(3, "new"), START_MS);
+      executor.onCallFailed(100);
       const again = executor.tick(400);
       const call = { kind: "give", order: order(3, "new") };
       assert.equal(again, [{ kind: "engine", call }]);
@@ -119,9 +123,9 @@
 
     it("reports the engine's refusal of an old token", () => {
       const executor = createExecutor(true);
-      executor.take(order(3, "old"), START_MS);
+      executor.submit(order(3, "old"), START_MS);
       const refusal = { ...answerWith("new"), accepted: false };
-      assert.equal(errors(executor.answered(refusal, 10)), [1701]);
+      assert.equal(errors(executor.onAnswer(refusal, 10)), [1701]);
     });
   });
 });
--- a/tests/orders/order-task-sockets.test.ts
+++ b/tests/orders/order-task-sockets.test.ts
@@ -68,7 +68,10 @@
     settings: { checksFencing, effectMs: EFFECT_MS },
   });
   const ending = new AbortController();
-  const running = [task.follow(ending.signal), task.give(ending.signal)];
+  const running = [
+    task.followLog(ending.signal),
+    task.executeOrders(ending.signal),
+  ];
   try {
     await body({ engine, append, waits });
   } finally {
--- a/tests/placement/placement.test.ts
+++ b/tests/placement/placement.test.ts
@@ -4,7 +4,7 @@
   defaultPlacementSettings,
   ignoreEvents,
   Placement,
-  type Choice,
+  type PlacementChoice,
   type PlacementRequest,
   type PlacementSettings,
   type RunnerDescription,
@@ -65,11 +65,17 @@
   return placement;
 }
 
-function choose(placement: Placement, wantedRequest = request()): Choice {
+function choose(
+  placement: Placement,
+  wantedRequest = request(),
+): PlacementChoice {
   return placement.choose(wantedRequest).unsafeCoerce();
 }
 
-function start(placement: Placement, wantedRequest = request()): Choice {
+function start(
+  placement: Placement,
+  wantedRequest = request(),
+): PlacementChoice {
   const choice = choose(placement, wantedRequest);
   placement.onStarted({ request: wantedRequest, choice });
   return choice;
--- a/tests/platform/registration-start.test.ts
+++ b/tests/platform/registration-start.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { decodeRegistration } from "../../platform/register.js";
-import type { LifeStart } from "../../src/membership/life.js";
+import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import { describe, it } from "../support/describe.js";
 
 function decodeStart(fields: Readonly<Record<string, unknown>>): LifeStart {
--- a/tests/platform/store-pages.test.ts
+++ b/tests/platform/store-pages.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { createSeatService } from "../../platform/seats.js";
+import { createLeaseService } from "../../platform/lease-service.js";
 import { StoreClient } from "../../platform/store.js";
 import type { KeyedPage } from "../../src/platform/keyed-topic.js";
 import { CannedResponseServer } from "../support/canned-response-server.js";
@@ -163,7 +163,7 @@
   async function join(body: string): Promise<boolean> {
     await using store = await CannedResponseServer.create(() => ({ body }));
     await using client = StoreClient.create(store.address);
-    const seats = createSeatService(client);
+    const seats = createLeaseService(client);
     return (await seats.join("group", "member", 0, 1000)).isHolder;
   }
 
--- a/tests/platform/truncated-responses.test.ts
+++ b/tests/platform/truncated-responses.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { createRankPort, readSlowness } from "../../platform/runner.js";
-import { createSeatService } from "../../platform/seats.js";
+import { createLeaseService } from "../../platform/lease-service.js";
 import { StoreClient } from "../../platform/store.js";
 import { ask } from "../../src/cli/processes.js";
 import { EngineClient } from "../../src/daemon/expert-map/engine-client.js";
@@ -115,7 +115,7 @@
     body: seat,
     read: (address) =>
       withStore(address, (client) =>
-        createSeatService(client).join("group", "member", 1, 1000),
+        createLeaseService(client).join("group", "member", 1, 1000),
       ),
   },
   {
--- a/tests/rankmaps/group-reporter.test.ts
+++ b/tests/rankmaps/group-reporter.test.ts
@@ -58,7 +58,7 @@
     assert.is(state.written.length, 1);
   });
 
-  it("is written again after the store was restored from an older copy", async () => {
+  it("is written again after the store was rolled back to an older copy", async () => {
     const { reporter, report, written } = createReporter();
     await report(1);
     reporter.forget();
--- a/tests/rankmaps/group-search.test.ts
+++ b/tests/rankmaps/group-search.test.ts
@@ -113,7 +113,7 @@
       service: "model",
     },
     connectRunner: (address) => portAt(address, onAsked),
-    seats: {
+    leaseService: {
       join: () => Promise.resolve({ generation: 1, era: 0, isHolder }),
       leave: () => Promise.resolve(),
     },
--- a/tests/rankmaps/pace-reporter.test.ts
+++ b/tests/rankmaps/pace-reporter.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { failure, ignoreEvents } from "../../src/internal.js";
-import type { LifeStart } from "../../src/membership/life.js";
+import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import { decodePaceNote } from "../../src/membership/slow-runners.js";
 import { PaceReporter } from "../../src/rankmaps/pace-reporter.js";
 import { describe, it } from "../support/describe.js";
@@ -11,7 +11,7 @@
   nowMs = 0;
   isStoreUnreachable = false;
   readonly written: number[] = [];
-  readonly startTimes: LifeStart[] = [];
+  readonly startTimes: IncarnationStart[] = [];
 
   readonly reporter = PaceReporter.create({
     now: () => this.nowMs,
@@ -110,12 +110,12 @@
     });
   });
 
-  it("writes again the notes that a restored store may have lost", async () => {
+  it("writes again the notes that a rolled back store may have lost", async () => {
     // The copy lists a recovered rank as slow. The entries read all notes again
     // and would send it nothing until the note expires.
     const notes = new ReporterFixture();
     for (const slowness of [5, 1]) await notes.report(slowness);
-    notes.reporter.onStoreRestored();
+    notes.reporter.onStoreRolledBack();
     for (const slowness of [1, 1]) await notes.report(slowness);
     assert.equal(notes.written, [5, 1, 1]);
   });
--- a/tests/rankmaps/planner-lease.test.ts
+++ b/tests/rankmaps/planner-lease.test.ts
@@ -3,9 +3,9 @@
 import {
   PlannerLease,
   renewalPauseMs,
-  type SeatAssignment,
-  type SeatService,
-} from "../../src/rankmaps/planner-seat.js";
+  type LeaseAssignment,
+  type LeaseService,
+} from "../../src/rankmaps/planner-lease.js";
 import { describe, it } from "../support/describe.js";
 import { pause } from "../support/wait.js";
 
@@ -14,7 +14,7 @@
  * outage.
  */
 class FakeStore {
-  assignment: SeatAssignment | undefined = {
+  assignment: LeaseAssignment | undefined = {
     generation: 1,
     era: 0,
     isHolder: false,
@@ -28,7 +28,7 @@
   isCandidate = true;
   hasLeft = false;
 
-  readonly service: SeatService = {
+  readonly service: LeaseService = {
     join: (_group, _member, generation) => {
       this.joins += 1;
       this.namedGenerations.push(generation);
@@ -133,7 +133,7 @@
     });
   });
 
-  describe("of a store that is restored from an older copy", () => {
+  describe("of a store that is rolled back to an older copy", () => {
     it("isn't held until the store grants it again", async () => {
       // The copy's holder may be another agent: if both planned, two maps would
       // be switched to at once.
--- a/tests/rankmaps/reachable-rank.test.ts
+++ b/tests/rankmaps/reachable-rank.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { failure } from "../../src/internal.js";
-import type { LifeStart } from "../../src/membership/life.js";
+import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import {
   createReachableRank,
   type AgentRank,
@@ -24,8 +24,8 @@
   isAgentAlive = true;
   readonly calls: string[] = [];
   /** Start of the incarnation that the agent and the runner report. */
-  agentStartedAtMs: LifeStart = undefined;
-  runnerStartedAtMs: LifeStart = undefined;
+  agentStartedAtMs: IncarnationStart = undefined;
+  runnerStartedAtMs: IncarnationStart = undefined;
 
   readonly groupRank = createReachableRank({
     address: "10.0.0.2:1",
--- a/tests/rankmaps/simulated-engines.ts
+++ b/tests/rankmaps/simulated-engines.ts
@@ -5,7 +5,7 @@
  * An engine may restart under its id; it then has no memory of earlier orders,
  * and reports of its earlier incarnation may still arrive.
  */
-import type { LifeStart } from "../../src/membership/life.js";
+import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import type { Random } from "../../src/internal.js";
 import type {
   ArmedMap,
@@ -48,7 +48,7 @@
 export interface Acceptance {
   readonly rank: number;
   readonly fence: OrderFence;
-  readonly startedAtMs: LifeStart;
+  readonly startedAtMs: IncarnationStart;
 }
 
 const DELAYED_SHARE = 0.3;
--- a/tests/rankmaps/switch-orders.test.ts
+++ b/tests/rankmaps/switch-orders.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { createRandom, type Random } from "../../src/internal.js";
-import { orderOfLives } from "../../src/membership/life.js";
+import { compareIncarnations } from "../../src/membership/incarnation.js";
 import { LatestIncarnation } from "../../src/rankmaps/latest-incarnation.js";
 import { resolveHeldStep } from "../../src/rankmaps/held-step-resolution.js";
 import {
@@ -53,7 +53,7 @@
   restartWhileAnswering: 0.1,
 };
 
-/** Share of turns at which the store is restored from an older copy. */
+/** Share of turns at which the store is rolled back to an older copy. */
 const STORE_RESTORE_SHARE = 0.03;
 /** Maximum number of generations that such a copy is behind. */
 const MAX_LOST_GENERATIONS = 6;
@@ -112,7 +112,7 @@
       (one) =>
         one.rank === rank &&
         trackers[rank].observe(one.startedAtMs) !== "earlier" &&
-        orderOfLives(observed?.startedAtMs, one.startedAtMs) === "same",
+        compareIncarnations(observed?.startedAtMs, one.startedAtMs) === "same",
     );
   }
 
@@ -290,7 +290,7 @@
 function simulate(
   seed: number,
   faults: FaultRates = USUAL_FAULTS,
-  restoreShare = 0,
+  rollbackShare = 0,
 ): { simulation: Simulation; history: History } {
   const random: Random = createRandom(seed);
   const simulation = new Simulation(random, faults, seed % 2 === 0);
@@ -306,13 +306,13 @@
       const { fencing } = SwitchCoordinator.create(generation);
       runHoldGuard(simulation, Math.floor(random() * RANKS), fencing);
     }
-    const isRestored = restoreShare > 0 && random() < restoreShare;
-    if (isRestored) {
+    const isRolledBack = rollbackShare > 0 && random() < rollbackShare;
+    if (isRolledBack) {
       era += 1;
       storeGeneration -= Math.floor(random() * MAX_LOST_GENERATIONS);
       storeGeneration = Math.max(0, storeGeneration);
     }
-    if (isRestored || random() < 0.02) {
+    if (isRolledBack || random() < 0.02) {
       // Another planner acquires the lease; the old one doesn't know for a
       // while.
       storeGeneration += 1;
@@ -357,7 +357,7 @@
   });
 
   it("never lets a pass coordinator with two maps when generations are issued again", () => {
-    // The store is restored from an older copy and grants the lease under a
+    // The store is rolled back to an older copy and grants the lease under a
     // generation that another planner has used, whose orders are still in
     // flight, or who doesn't know yet.
     let switches = 0;
--- a/tests/routing/route-table.test.ts
+++ b/tests/routing/route-table.test.ts
@@ -2,15 +2,19 @@
 import { createRandom } from "../../src/internal.js";
 import { RouteTable, chooseService } from "../../src/routing/route-table.js";
 import { describe, it } from "../support/describe.js";
-import { routeOf, createSiteConfiguration } from "./support.js";
+import { createRoute, createSiteConfiguration } from "./support.js";
 
 describe("route table", () => {
   const table = RouteTable.create(
     createSiteConfiguration({
       routes: [
-        routeOf({ name: "short", pathPrefix: "/a/" }),
-        routeOf({ name: "long", pathPrefix: "/a/b/" }),
-        routeOf({ name: "other", hostname: "other.example", pathPrefix: "/" }),
+        createRoute({ name: "short", pathPrefix: "/a/" }),
+        createRoute({ name: "long", pathPrefix: "/a/b/" }),
+        createRoute({
+          name: "other",
+          hostname: "other.example",
+          pathPrefix: "/",
+        }),
       ],
       accounts: [{ name: "one", credentials: ["k1", "k2"], priority: 3 }],
     }),
--- a/tests/routing/support.ts
+++ b/tests/routing/support.ts
@@ -1,7 +1,7 @@
 /** Test routes and configurations with defaults for unspecified fields. */
 import type { Route, SiteConfiguration } from "../../src/routing/types.js";
 
-export function routeOf(fields: Partial<Route>): Route {
+export function createRoute(fields: Partial<Route>): Route {
   return {
     name: "route",
     hostname: "site.example",
--- a/tests/support/canned-response-server.ts
+++ b/tests/support/canned-response-server.ts
@@ -1,6 +1,6 @@
 /** HTTP server that sends canned responses. */
 import { createServer } from "node:http";
-import { listen, type Listening } from "../../src/daemon/listening.js";
+import { listen, type ListeningServer } from "../../src/daemon/listening.js";
 
 export interface CannedResponse {
   readonly status?: number;
--- a/tests/suspects/crash-detector.test.ts
+++ b/tests/suspects/crash-detector.test.ts
@@ -4,7 +4,7 @@
   CrashDetector,
   DETECTION_WINDOW_MS,
   type PortState,
-} from "../../src/suspects/crash-watch.js";
+} from "../../src/suspects/crash-detector.js";
 import { SuspectRequests } from "../../src/suspects/suspect-requests.js";
 import { describe, it } from "../support/describe.js";
 
--- a/tests/suspects/crash-simulation.ts
+++ b/tests/suspects/crash-simulation.ts
@@ -14,8 +14,8 @@
 } from "../../src/internal.js";
 import type { KeyedRecord } from "../../src/platform/keyed-topic.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
-import { CrashDetector } from "../../src/suspects/crash-watch.js";
-import { SuspectSync } from "../../src/suspects/suspect-notes.js";
+import { CrashDetector } from "../../src/suspects/crash-detector.js";
+import { SuspectSync } from "../../src/suspects/suspect-sync.js";
 import { SuspectRequests } from "../../src/suspects/suspect-requests.js";
 
 export interface CrashSimulationOptions {
--- a/tests/suspects/suspect-sync.test.ts
+++ b/tests/suspects/suspect-sync.test.ts
@@ -6,7 +6,7 @@
   ignoreMeasurements,
 } from "../../src/internal.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
-import { SuspectSync } from "../../src/suspects/suspect-notes.js";
+import { SuspectSync } from "../../src/suspects/suspect-sync.js";
 import { SuspectRequests } from "../../src/suspects/suspect-requests.js";
 import { describe, it } from "../support/describe.js";
 
