--- a/fuzz/records/answers.ts
+++ b/fuzz/records/answers.ts
@@ -93,23 +93,23 @@
     ...findUntypedErrors(() => decodeChangesPage(body)),
     ...findUntypedErrors(() => decodeNewestPage(body)),
     ...findUntypedErrors(() => headerCodec.readAnswer(status, headers)),
-    ...checkSeat(body),
+    ...checkLeaseAssignment(body),
     ...checkRequestHeaders(headers),
   ];
 }
 
-/** A seat is held only if the row that names it is present. */
-function checkSeat(body: Buffer): readonly string[] {
+/** A lease is held only if the row that names it is present. */
+function checkLeaseAssignment(body: Buffer): readonly string[] {
   const mismatches: string[] = [];
   const parts = parseJson(body)?.parts;
-  const seatRows: readonly unknown[] = Array.isArray(parts) ? parts : [];
-  const hasSeatRow = seatRows.some(
+  const leaseRows: readonly unknown[] = Array.isArray(parts) ? parts : [];
+  const hasLeaseRow = leaseRows.some(
     (row) => Array.isArray(row) && row[0] === "seats" && row[1] === 0,
   );
   const untypedErrors = findUntypedErrors(() => {
-    const { isHolder } = decodeSeat(body);
-    if (isHolder !== hasSeatRow)
-      mismatches.push("a seat that doesn't match its row");
+    const { isHolder } = decodeLeaseAssignment(body);
+    if (isHolder !== hasLeaseRow)
+      mismatches.push("a lease that doesn't match its row");
   });
   return [...untypedErrors, ...mismatches];
 }
--- a/measure/decisions.ts
+++ b/measure/decisions.ts
@@ -77,7 +77,7 @@
     now,
     random,
     emit: ignoreEvents,
-    entries: () => 320,
+    countLiveEntries: () => 320,
     start: (request) =>
       place(placement, admission, request, random, endCallbacks),
     giveUp: () => undefined,
@@ -231,7 +231,7 @@
   const results = {
     ours: timeDecisions(seed, 4000, {}),
     "ours, saturated": timeDecisions(seed, 20_000, {}),
-    "scan of the pool": timeDecisions(seed, 4000, { scanUpTo: RUNNERS }),
+    "scan of the pool": timeDecisions(seed, 4000, { fullScanLimit: RUNNERS }),
   };
   const rows = Object.entries(results).map(([policy, timing]) => ({
     policy,
--- a/measure/skew-policies.ts
+++ b/measure/skew-policies.ts
@@ -98,7 +98,7 @@
   const balancer = Balancer.create(shape, ignoreEvents, limits);
   return {
     ...balancerPolicy(balancer, costs, skewWeight),
-    placeRequests: (map, total) => balancer.levelledRequests(map, total),
+    placeRequests: (map, total) => balancer.balancedRequests(map, total),
   };
 }
 
--- a/measure/support/choosers.ts
+++ b/measure/support/choosers.ts
@@ -66,10 +66,10 @@
     const indexes = new Map(
       runners.map(({ runner }, index) => [runner, index]),
     );
-    const addInFlight = ({ choice }: Placed, change: number): void => {
+    const addInFlight = ({ choice }: PlacedRequest, change: number): void => {
       inFlight[indexes.get(choice.runner) ?? 0] += change;
     };
-    const release = (placed: Placed): void => {
+    const release = (placed: PlacedRequest): void => {
       addInFlight(placed, -1);
     };
     const ignore = (): void => undefined;
--- a/measure/support/entries.ts
+++ b/measure/support/entries.ts
@@ -84,7 +84,7 @@
   site: Site,
   entry: number,
   openCall: OpenCall,
-  choice: Choice,
+  choice: PlacementChoice,
   callbacks: {
     readonly ended: (durationMs: number) => void;
     readonly failed: () => void;
@@ -128,7 +128,7 @@
     const openCall = openCalls.get(request.id);
     if (openCall === undefined) return true;
     const { call } = openCall;
-    const output = estimate.expect(call.account, call.profile);
+    const output = estimate.estimateTokens(call.account, call.profile);
     const placementInput = placementRequest(call, output, openCall.excluded);
     const choice = site.choose(entry, placementInput);
     if (!choice.hasRoom) return false;
@@ -153,14 +153,14 @@
   };
 
   const retry = (openCall: OpenCall, request: AdmissionRequest): void => {
-    const delayMs = retries.spend(openCall.attempts);
+    const delayMs = retries.takeRetry(openCall.attempts);
     if (delayMs === undefined) {
       close(openCall, "failed");
       admission.onEnded(request, { costTokens: 0, durationMs: undefined });
       return;
     }
     site.clock.schedule(delayMs, () => {
-      admission.putBack(request);
+      admission.requeue(request);
       admission.drain(POOL);
     });
   };
@@ -193,7 +193,7 @@
     onCall: (call, onOutcome) => {
       const openCall = createOpenCall(call, onOutcome);
       openCalls.set(call.id, openCall);
-      const output = estimate.expect(call.account, call.profile);
+      const output = estimate.estimateTokens(call.account, call.profile);
       const offer = admission.offer(admissionRequest(call, output));
       if (offer.kind !== "refused") return;
       close(openCall, "refused", offer.retryAfterMs);
--- a/measure/support/site.ts
+++ b/measure/support/site.ts
@@ -115,7 +115,7 @@
     this.clock.schedule(delayMs, () => {
       this.attempts += 1;
       const limit = this.limits[index];
-      if (limit?.enter(call.priority, `entry-${entry}`) === false) {
+      if (limit?.tryAcquire(call.priority, `entry-${entry}`) === false) {
         afterReturnDelay(() => {
           chooser.onRefused(placed);
           attempt.onRefused();
@@ -130,14 +130,14 @@
           afterReturnDelay(attempt.onFirstToken);
         },
         onEnded: (result) => {
-          limit?.leave(`entry-${entry}`);
+          limit?.release(`entry-${entry}`);
           afterReturnDelay(() => {
             chooser.onEnded(placed, result.serviceMs, result.cachedTokens);
             attempt.onEnded(result);
           });
         },
         onFailed: () => {
-          limit?.leave(`entry-${entry}`);
+          limit?.release(`entry-${entry}`);
           afterReturnDelay(() => {
             chooser.onFailed(placed);
             attempt.onFailed();
@@ -241,7 +241,7 @@
 }
 
 /** A KV cache transfer replaces the prefill and takes its predicted time. */
-function cacheTransferMs({ request, choice }: Placed): number {
+function cacheTransferMs({ request, choice }: PlacedRequest): number {
   if (choice.importFrom === undefined) return 0;
   return Math.max(1, choice.nominalMs - request.outputTokens * STEP_MS);
 }
--- a/measure/support/virtual-clock.ts
+++ b/measure/support/virtual-clock.ts
@@ -30,8 +30,8 @@
   }
 
   runUntil(untilMs: number): void {
-    while (this.events.leastKey <= untilMs) {
-      this.nowMs = this.events.leastKey;
+    while (this.events.minimumKey <= untilMs) {
+      this.nowMs = this.events.minimumKey;
       this.events.pop()?.();
     }
     this.nowMs = untilMs;
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -172,7 +172,7 @@
     const { group, activeMap, step } = register;
     if (group === null || activeMap === undefined) return;
     const { version, map } = activeMap;
-    const mapHash = hashMap(map);
+    const mapHash = hashExpertMap(map);
     this.settings.onStep({ group, member, step, version, mapHash });
     const durationMs = this.runStep(engine, map, now);
     engine.busyUntilMs = now + durationMs;
@@ -208,7 +208,7 @@
     if (delay === undefined || group === null || activeMap === undefined)
       return;
     const { version } = activeMap;
-    const mapHash = hashMap(activeMap.map);
+    const mapHash = hashExpertMap(activeMap.map);
     const report: StepReport = {
       group,
       step,
--- a/standins/map-register.ts
+++ b/standins/map-register.ts
@@ -91,7 +91,7 @@
       members: this.members,
       sealed: this.sealed,
       version: activeMap?.version ?? 0,
-      mapHash: activeMap === undefined ? "" : hashMap(activeMap.map),
+      mapHash: activeMap === undefined ? "" : hashExpertMap(activeMap.map),
       since: activeMap?.sinceStep ?? 0,
       origin: activeMap?.origin ?? null,
       armed: this.armed,
@@ -106,7 +106,7 @@
   }
 
   /** Stores a chunk of an expert's weights; returns the bytes held so far. */
-  putWeight(weight: WeightName, offset: number, length: number): number {
+  putWeight(weight: ExpertWeightId, offset: number, length: number): number {
     const { staging } = this;
     const key = weightKey(weight);
     const held = staging?.bytes.get(key);
@@ -180,7 +180,7 @@
     return sameBallot(this.armed?.proposal.id ?? null, proposal.id);
   }
 
-  private stage(hash: string, weights: readonly WeightName[]): boolean {
+  private stage(hash: string, weights: readonly ExpertWeightId[]): boolean {
     // An engine that is sealed for a newer formation must stage even while it
     // is armed, or it could never join. If the armed proposal is committed
     // after all, the engine holds (see mustHold).
@@ -285,7 +285,7 @@
     }));
   }
 
-  private ownWeights(): readonly WeightName[] {
+  private ownWeights(): readonly ExpertWeightId[] {
     if (this.activeMap === undefined) return [];
     const ranks = ranksOf(this.members, this.settings.member);
     return weightsOf(this.activeMap.map, ranks);
--- a/standins/signing-runner.ts
+++ b/standins/signing-runner.ts
@@ -39,7 +39,7 @@
   misdirected = 0;
   /** Number of crashes so far. */
   crashes = 0;
-  private listeningServer: Listening | undefined;
+  private listeningServer: ListeningServer | undefined;
   private server: Server | undefined;
   private isDisposed = false;
 
--- a/tests/platform/registration-start.test.ts
+++ b/tests/platform/registration-start.test.ts
@@ -3,7 +3,9 @@
 import type { IncarnationStart } from "../../src/membership/incarnation.js";
 import { describe, it } from "../support/describe.js";
 
-function decodeStart(fields: Readonly<Record<string, unknown>>): LifeStart {
+function decodeStart(
+  fields: Readonly<Record<string, unknown>>,
+): IncarnationStart {
   const value = Buffer.from(
     JSON.stringify({
       backend: "service",
--- a/tests/support/canned-response-server.ts
+++ b/tests/support/canned-response-server.ts
@@ -8,7 +8,7 @@
 }
 
 export class CannedResponseServer implements AsyncDisposable {
-  private constructor(private readonly listening: Listening) {}
+  private constructor(private readonly listening: ListeningServer) {}
 
   /** `respond` receives the number of earlier requests. */
   static async create(
