--- a/demo/main.ts
+++ b/demo/main.ts
@@ -172,9 +172,10 @@
     await checkConservation(site),
   ];
   print("");
+  // Operators' tools match these prefixes.
   for (const { name: check, hasPassed, detail } of checks) {
     print(
-      `${hasPassed ? "passed" : "FAILED"}  ${check}${hasPassed ? "" : `: ${detail}`}`,
+      `${hasPassed ? "held  " : "BROKEN"}  ${check}${hasPassed ? "" : `: ${detail}`}`,
     );
   }
   return checks.every(({ hasPassed }) => hasPassed);
--- a/demo/soak.ts
+++ b/demo/soak.ts
@@ -182,9 +182,10 @@
   const cells = Object.values(counts).map(String);
   console.log(renderTable(Object.keys(counts), [cells]));
   console.log("");
+  // Operators' tools match these prefixes.
   for (const { name, hasPassed, detail } of checks) {
     console.log(
-      `${hasPassed ? "passed" : "FAILED"}  ${name}${hasPassed ? "" : `: ${detail}`}`,
+      `${hasPassed ? "held  " : "BROKEN"}  ${name}${hasPassed ? "" : `: ${detail}`}`,
     );
   }
 }
