--- a/fuzz/configuration/simulation.ts
+++ b/fuzz/configuration/simulation.ts
@@ -13,7 +13,7 @@
   initialConfigurationState,
   skipTrimmed,
   type AcceptanceRules,
-  type Applied,
+  type ApplyResult,
   type Checkpoint,
   type Configuration,
   type ConfigurationState,
@@ -166,7 +166,7 @@
     this.publications.push(record.kind === "publication" ? record : undefined);
   }
 
-  private applyResult(reader: Reader, { state, verdicts }: Applied): void {
+  private applyResult(reader: Reader, { state, verdicts }: ApplyResult): void {
     const before = reader.state.inForce?.version ?? -1;
     const after = state.inForce?.version ?? -1;
     if (after < before) this.addViolation(`version ${before} fell to ${after}`);
--- a/src/cli/commands/bundle.ts
+++ b/src/cli/commands/bundle.ts
@@ -6,7 +6,7 @@
 import { LogClient } from "../../platform/log-client.js";
 import { readHistory } from "../configuration-log.js";
 import { exitCodes, type ExitCode } from "../exit-codes.js";
-import { ask } from "../processes.js";
+import { queryProcess } from "../processes.js";
 import { readVmList, type Vm } from "../../platform/vm-list-client.js";
 import { ToolCommand } from "../tool-command.js";
 
@@ -67,7 +67,9 @@
 
 async function collectAnswers(vm: Vm): Promise<ProcessSection> {
   const [status, metrics, events] = await Promise.all(
-    COLLECTED_PATHS.map(async (path) => (await ask(vm, "GET", path)) ?? null),
+    COLLECTED_PATHS.map(
+      async (path) => (await queryProcess(vm, "GET", path)) ?? null,
+    ),
   );
   const answers = {
     "/status": status,
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -3,7 +3,7 @@
 import { raise } from "../../internal.js";
 import { readVmList, type Vm } from "../../platform/vm-list-client.js";
 import { exitCodes, type ExitCode } from "../exit-codes.js";
-import { ask } from "../processes.js";
+import { queryProcess } from "../processes.js";
 import { ToolCommand } from "../tool-command.js";
 
 const POLL_MS = 200;
@@ -25,12 +25,12 @@
 
   protected async run(): Promise<ExitCode> {
     const vm = await this.findProcess();
-    const answer = await ask(vm, "POST", "/leave");
+    const answer = await queryProcess(vm, "POST", "/leave");
     if (answer === undefined) raise(2001, { process: vm.name });
     this.progress(`${vm.name} is leaving`);
     const deadline = Date.now() + Number(this.wait) * 1000;
     while (Date.now() < deadline) {
-      if ((await ask(vm, "GET", "/health")) === undefined) {
+      if ((await queryProcess(vm, "GET", "/health")) === undefined) {
         this.print({ process: vm.name, ended: true }, `${vm.name} has ended`);
         return exitCodes.done;
       }
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -17,7 +17,10 @@
 ): Promise<ProcessAnswer[]> {
   const vms = await readVmList(vmList);
   return Promise.all(
-    vms.map(async (vm) => ({ vm, answer: await ask(vm, "GET", path) })),
+    vms.map(async (vm) => ({
+      vm,
+      answer: await queryProcess(vm, "GET", path),
+    })),
   );
 }
 
@@ -25,7 +28,7 @@
  * The answer of one process as a JSON value, or as text if it isn't JSON.
  * Undefined if the process can't be reached or its answer is incomplete.
  */
-export async function ask(
+export async function queryProcess(
   { operators }: Vm,
   method: "GET" | "POST",
   path: string,
--- a/src/configuration/acceptance.ts
+++ b/src/configuration/acceptance.ts
@@ -9,7 +9,7 @@
  * they understand; a release reports content that it doesn't understand and
  * never puts it in force.
  */
-import { applyToUnknownChain } from "./anchor.js";
+import { applyToUnknownChain } from "./recovery.js";
 import { contentHash } from "./content-hash.js";
 import { parseEnvelope } from "./envelope.js";
 import {
@@ -19,7 +19,7 @@
 } from "./rules.js";
 import { putInForce, skipTrimmed } from "./state.js";
 import type {
-  Applied,
+  ApplyResult,
   Checkpoint,
   ConfigurationState,
   PublishedContent,
@@ -33,7 +33,7 @@
   state: ConfigurationState,
   record: LogRecord,
   rules: AcceptanceRules = acceptanceRules,
-): Applied {
+): ApplyResult {
   const { offset } = record;
   if (offset < state.nextOffset) return { state, verdicts: [] };
   const next = { ...skipTrimmed(state, offset), nextOffset: offset + 1 };
@@ -55,7 +55,7 @@
   from: ConfigurationState,
   records: readonly LogRecord[],
   rules: AcceptanceRules = acceptanceRules,
-): Applied {
+): ApplyResult {
   let state = from;
   const verdicts: Verdict[] = [];
   for (const record of records) {
@@ -72,7 +72,7 @@
   record: LogRecord,
   publication: Publication,
   rules: AcceptanceRules,
-): Applied {
+): ApplyResult {
   const { offset } = record;
   const updated = { ...chain, lastPublication: offset };
   if (rules.isNextLink(publication, offset, chain)) {
@@ -101,7 +101,7 @@
   record: LogRecord,
   publication: Publication,
   rules: AcceptanceRules,
-): Applied {
+): ApplyResult {
   const { offset } = record;
   const { formatVersion, nonce, author, configuration } = publication;
   const identity = { offset, nonce, author };
@@ -121,7 +121,7 @@
       verdicts: [{ ...identity, kind: "not-understood", formatVersion }],
     };
   }
-  return validate(configuration).caseOf<Applied>({
+  return validate(configuration).caseOf<ApplyResult>({
     Left: (problems) => {
       const links = rules.linksInvalidContent(formatVersion);
       return {
@@ -162,7 +162,7 @@
   chain: KnownChain,
   record: LogRecord,
   { asOf, head }: Checkpoint,
-): Applied {
+): ApplyResult {
   const { offset, appendedAtMs } = record;
   const localVersion = chain.head?.version ?? -1;
   const checkpointVersion = head?.version ?? -1;
--- a/src/configuration/anchor.ts
+++ b/src/configuration/recovery.ts
@@ -8,7 +8,7 @@
 import { acceptanceRules, type AcceptanceRules } from "./rules.js";
 import { EMPTY_CHAIN, putInForce } from "./state.js";
 import type {
-  Applied,
+  ApplyResult,
   Chain,
   Checkpoint,
   ConfigurationState,
@@ -26,7 +26,7 @@
   record: LogRecord,
   envelope: Publication | Checkpoint,
   rules: AcceptanceRules,
-): Applied {
+): ApplyResult {
   const pending = [...chain.pending, record];
   const waiting = { ...state, chain: { ...chain, pending } };
   if (envelope.kind === "checkpoint") {
@@ -64,9 +64,9 @@
   snapshot: Checkpoint,
   heldFrom: number,
   rules: AcceptanceRules = acceptanceRules,
-): Applied {
+): ApplyResult {
   const { chain } = state;
-  const unchanged: Applied = { state, verdicts: [] };
+  const unchanged: ApplyResult = { state, verdicts: [] };
   const isKnown = chain.kind === "known";
   if (isKnown && snapshot.asOf < state.nextOffset) return unchanged;
   const firstHeld = isKnown ? heldFrom : Math.max(heldFrom, chain.heldFrom);
@@ -149,7 +149,7 @@
   state: ConfigurationState,
   offset: number,
   { asOf }: Checkpoint,
-): Applied {
+): ApplyResult {
   return {
     state,
     verdicts: [{ kind: "checkpoint-disagrees", offset, asOf }],
--- a/src/configuration/types.ts
+++ b/src/configuration/types.ts
@@ -131,7 +131,7 @@
   readonly anchoredAtMs: number | null;
 }
 
-export interface Applied {
+export interface ApplyResult {
   readonly state: ConfigurationState;
   /** In log order; a checkpoint may add verdicts on earlier records. */
   readonly verdicts: readonly Verdict[];
--- a/src/daemon/configuration/configuration-events.ts
+++ b/src/daemon/configuration/configuration-events.ts
@@ -1,7 +1,7 @@
 /** Emits events for the records applied from the configuration stream. */
 import {
   verdictFailure,
-  type Applied,
+  type ApplyResult,
   type ConfigurationState,
   type Emit,
   type Verdict,
@@ -11,7 +11,7 @@
 
 export function emitConfigurationEvents(
   before: ConfigurationState,
-  { state, verdicts }: Applied,
+  { state, verdicts }: ApplyResult,
   source: ConfigurationSource,
   emit: Emit,
 ): void {
--- a/src/daemon/configuration/follower.ts
+++ b/src/daemon/configuration/follower.ts
@@ -18,7 +18,7 @@
   randomBelow,
   skipTrimmed,
   toFailure,
-  type Applied,
+  type ApplyResult,
   type Configuration,
   type ConfigurationInForce,
   type ConfigurationState,
@@ -266,7 +266,7 @@
     this.options.context.emit(114, { heldFrom: startOffset, version });
   }
 
-  private commit(applied: Applied, records: readonly LogRecord[]): void {
+  private commit(applied: ApplyResult, records: readonly LogRecord[]): void {
     const before = this.state;
     this.state = applied.state;
     this.updateVersionMetric();
--- a/src/direct/entry-topics.ts
+++ b/src/direct/entry-topics.ts
@@ -8,7 +8,10 @@
 import { REGISTER_STREAM } from "../membership/register-reader.js";
 import type { KeyedRecord, KeyedTopic } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
-import { followTopic, type FollowOptions } from "../platform/topic-follower.js";
+import {
+  followTopic,
+  type TopicFollowerOptions,
+} from "../platform/topic-follower.js";
 import { CONFIGURATION_STREAM } from "../routing/newest-configuration.js";
 
 /** Receives the records of a topic, or those that have changed. */
@@ -26,10 +29,13 @@
 }
 
 /** Called when a topic can't be read any more and when it can be read again. */
-export type TopicOutageHandlers = Pick<FollowOptions, "onLost" | "onRestored">;
+export type TopicOutageHandlers = Pick<
+  TopicFollowerOptions,
+  "onLost" | "onRestored"
+>;
 
 export type RegisterOutageHandlers = TopicOutageHandlers &
-  Pick<FollowOptions, "onReturned">;
+  Pick<TopicFollowerOptions, "onReturned">;
 
 /**
  * Long-poll timeout of the configuration topic, ms. The store answers as soon
@@ -125,7 +131,7 @@
     name: string,
     topic: KeyedTopic,
     options: Omit<
-      FollowOptions,
+      TopicFollowerOptions,
       "name" | "topic" | "random" | "emit" | "findings"
     >,
   ): void {
--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -140,7 +140,7 @@
     const { registry, measurements } = registerMetrics(labels);
     this.registry = registry;
     this.measurements = measurements;
-    options.era.onRise((era) => {
+    options.era.onNewEra((era) => {
       emit(196, { era });
       measurements.set("storeEra", era);
       this.suspects.onStoreRolledBack();
--- a/src/internal.ts
+++ b/src/internal.ts
@@ -19,10 +19,10 @@
 export * from "./configuration/rules.js";
 export * from "./configuration/state.js";
 export * from "./configuration/acceptance.js";
-export * from "./configuration/anchor.js";
+export * from "./configuration/recovery.js";
 export * from "./configuration/verdict.js";
 export * from "./configuration/relays.js";
-export * from "./configuration/checkpoint-time.js";
+export * from "./configuration/checkpoint-schedule.js";
 
 // claims
 export * from "./claims/types.js";
--- a/src/membership/register-reader.ts
+++ b/src/membership/register-reader.ts
@@ -51,7 +51,7 @@
 
   private skip(record: KeyedRecord, reason: string): RegisterChange {
     const { key, value = Buffer.alloc(0) } = record;
-    this.options.findings.note({
+    this.options.findings.report({
       stream: REGISTER_STREAM,
       key,
       content: value,
--- a/src/membership/runner-groups.ts
+++ b/src/membership/runner-groups.ts
@@ -56,7 +56,7 @@
       return { name: key, ...decodeJson(valueSchema, value) };
     } catch (error) {
       const reason = toFailure(error, 1903).message;
-      findings.note({ stream: GROUPS_STREAM, key, content: value, reason });
+      findings.report({ stream: GROUPS_STREAM, key, content: value, reason });
       return [];
     }
   });
--- a/src/membership/slow-runners.ts
+++ b/src/membership/slow-runners.ts
@@ -74,7 +74,7 @@
     } catch (error) {
       const { key, value = Buffer.alloc(0) } = record;
       const reason = toFailure(error, 1903).message;
-      findings.note({ stream: PACE_STREAM, key, content: value, reason });
+      findings.report({ stream: PACE_STREAM, key, content: value, reason });
       return [];
     }
   });
--- a/src/platform/record-findings.ts
+++ b/src/platform/record-findings.ts
@@ -28,7 +28,7 @@
  * Findings remembered. Beyond that the least recently seen one is evicted, and
  * reported again if it recurs.
  */
-export const MOST_REMEMBERED = 1000;
+export const MAX_REMEMBERED_FINDINGS = 1000;
 /** Longer keys and reasons are cut in the log. */
 const MAX_LOGGED_CHARACTERS = 200;
 
@@ -58,7 +58,7 @@
   }
 
   /** Counts and logs the finding if it is new. */
-  note(finding: RecordFinding): void {
+  report(finding: RecordFinding): void {
     if (!this.isNew(finding)) return;
     const { stream, key, reason } = finding;
     this.inputs.emit(193, {
@@ -69,14 +69,14 @@
   }
 
   /** Reports the records of a page whose key can't be decoded. */
-  noteUnreadable(stream: string, records: readonly UnreadableRecord[]): void {
+  reportUnreadable(stream: string, records: readonly UnreadableRecord[]): void {
     for (const { content, reason } of records) {
-      this.note({ stream, key: "", content, reason });
+      this.report({ stream, key: "", content, reason });
     }
   }
 
   private evictOldest(): void {
-    if (this.known.size <= MOST_REMEMBERED) return;
+    if (this.known.size <= MAX_REMEMBERED_FINDINGS) return;
     const [oldest] = this.known;
     this.known.delete(oldest);
   }
--- a/src/platform/store-era.ts
+++ b/src/platform/store-era.ts
@@ -38,7 +38,7 @@
   }
 
   /** Registers a listener for every new era, including the first one seen. */
-  onRise(listener: (era: number) => void): void {
+  onNewEra(listener: (era: number) => void): void {
     this.listeners.add(listener);
   }
 }
--- a/src/platform/topic-follower.ts
+++ b/src/platform/topic-follower.ts
@@ -24,7 +24,7 @@
  */
 type FullReadCause = "start" | "forgotten" | "returned";
 
-export interface FollowOptions {
+export interface TopicFollowerOptions {
   readonly name: string;
   readonly topic: KeyedTopic;
   /** How long the store holds a read open if there is no record, ms. */
@@ -62,7 +62,7 @@
 
 /** Runs until the signal aborts. */
 export async function followTopic(
-  options: FollowOptions,
+  options: TopicFollowerOptions,
   signal: AbortSignal,
 ): Promise<void> {
   const follower = TopicFollower.create(options, signal);
@@ -81,11 +81,14 @@
   private lastFailedAtMs = 0;
 
   private constructor(
-    private readonly options: FollowOptions,
+    private readonly options: TopicFollowerOptions,
     private readonly signal: AbortSignal,
   ) {}
 
-  static create(options: FollowOptions, signal: AbortSignal): TopicFollower {
+  static create(
+    options: TopicFollowerOptions,
+    signal: AbortSignal,
+  ): TopicFollower {
     return new TopicFollower(options, signal);
   }
 
@@ -163,7 +166,7 @@
     const { name, findings, onSnapshot } = this.options;
     this.offset = nextOffset;
     this.onSuccess();
-    findings.noteUnreadable(name, unreadable);
+    findings.reportUnreadable(name, unreadable);
     if (records.length === 0 && apply !== onSnapshot) return;
     if (this.tryApply(records, apply)) return;
     this.applyIndividually(records);
--- a/src/platform/vm-list-client.ts
+++ b/src/platform/vm-list-client.ts
@@ -57,7 +57,7 @@
   try {
     return [checkValue(vmSchema, vm)];
   } catch (error) {
-    findings?.note({
+    findings?.report({
       stream: VM_LIST_STREAM,
       key: "",
       content: Buffer.from(JSON.stringify(vm)),
--- a/src/rankmaps/agent.ts
+++ b/src/rankmaps/agent.ts
@@ -175,7 +175,7 @@
       member: `${name}.${this.incarnation}`,
       leastLeaseMs: store.leastLeaseMs,
     });
-    options.era.onRise((era) => {
+    options.era.onNewEra((era) => {
       this.emit(196, { era });
       measurements.set("storeEra", era);
       this.pace.onStoreRolledBack();
@@ -372,7 +372,7 @@
   ): Promise<readonly string[]> {
     const { register, settings } = this.options;
     const { records, unreadable } = await register.newest(signal);
-    this.findings.noteUnreadable(REGISTER_STREAM, unreadable);
+    this.findings.reportUnreadable(REGISTER_STREAM, unreadable);
     const addresses = this.registerReader
       .read(records)
       .flatMap(({ server }) => server ?? [])
--- a/src/suspects/suspect-sync.ts
+++ b/src/suspects/suspect-sync.ts
@@ -84,7 +84,12 @@
         suspects.merge(decodeJson(recordSchema, value), source);
       } catch (error) {
         const reason = toFailure(error, 1903).message;
-        findings.note({ stream: SUSPECTS_STREAM, key, content: value, reason });
+        findings.report({
+          stream: SUSPECTS_STREAM,
+          key,
+          content: value,
+          reason,
+        });
       }
     }
   }
--- a/tests/configuration/acceptance.test.ts
+++ b/tests/configuration/acceptance.test.ts
@@ -10,7 +10,7 @@
   initialConfigurationState,
   skipTrimmed,
   type AcceptanceRules,
-  type Applied,
+  type ApplyResult,
   type Checkpoint,
   type LogRecord,
 } from "../../src/internal.js";
@@ -28,11 +28,14 @@
   ]),
 };
 
-function read(records: readonly LogRecord[], rules = acceptanceRules): Applied {
+function read(
+  records: readonly LogRecord[],
+  rules = acceptanceRules,
+): ApplyResult {
   return applyRecords(initialConfigurationState, records, rules);
 }
 
-function verdictKinds({ verdicts }: Applied): readonly string[] {
+function verdictKinds({ verdicts }: ApplyResult): readonly string[] {
   return verdicts.map(({ kind }) => kind);
 }
 
--- a/tests/platform/record-findings.test.ts
+++ b/tests/platform/record-findings.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import {
-  MOST_REMEMBERED,
+  MAX_REMEMBERED_FINDINGS,
   RecordFindings,
 } from "../../src/platform/record-findings.js";
 import { describe, it } from "../support/describe.js";
@@ -23,7 +23,7 @@
   });
 
   note(key: string, content = "?"): void {
-    this.findings.note({
+    this.findings.report({
       stream: "things",
       key,
       content: Buffer.from(content),
@@ -54,12 +54,12 @@
     // of the others.
     const reported = new ReportedFindings();
     reported.note("stays");
-    for (let index = 0; index < 2 * MOST_REMEMBERED; index += 1) {
+    for (let index = 0; index < 2 * MAX_REMEMBERED_FINDINGS; index += 1) {
       reported.note(`passing ${index}`);
       reported.note("stays");
     }
-    assert.is(reported.eventCount, 2 * MOST_REMEMBERED + 1);
+    assert.is(reported.eventCount, 2 * MAX_REMEMBERED_FINDINGS + 1);
     reported.note("passing 0");
-    assert.is(reported.eventCount, 2 * MOST_REMEMBERED + 2);
+    assert.is(reported.eventCount, 2 * MAX_REMEMBERED_FINDINGS + 2);
   });
 });
--- a/tests/platform/truncated-responses.test.ts
+++ b/tests/platform/truncated-responses.test.ts
@@ -2,7 +2,7 @@
 import { createRankPort, readSlowness } from "../../platform/runner.js";
 import { createLeaseService } from "../../platform/lease-service.js";
 import { StoreClient } from "../../platform/store.js";
-import { ask } from "../../src/cli/processes.js";
+import { queryProcess } from "../../src/cli/processes.js";
 import { EngineClient } from "../../src/daemon/expert-map/engine-client.js";
 import { readWeights } from "../../src/daemon/expert-map/weight-client.js";
 import { RunnerClient } from "../../src/daemon/agent/runner-client.js";
@@ -145,12 +145,12 @@
   {
     name: "tool, a process's status",
     body: { release: "1", leaving: false },
-    read: (operators) => ask({ operators } as Vm, "GET", "/status"),
+    read: (operators) => queryProcess({ operators } as Vm, "GET", "/status"),
   },
   {
     name: "tool, a process's metrics",
     body: Buffer.from("metric_a 1\nmetric_b 2\n"),
-    read: (operators) => ask({ operators } as Vm, "GET", "/metrics"),
+    read: (operators) => queryProcess({ operators } as Vm, "GET", "/metrics"),
   },
 ];
 
