--- a/demo/daemon-process.ts
+++ b/demo/daemon-process.ts
@@ -22,7 +22,7 @@
   readonly logFile: string;
   readonly kill: (signal: NodeJS.Signals) => void;
   /** Resolves with the exit code, or null if a signal ended the process. */
-  readonly ended: Promise<number | null>;
+  readonly exited: Promise<number | null>;
 }
 
 interface ReadyLine {
@@ -54,8 +54,8 @@
   const log = createWriteStream(logFile);
   child.stdout.pipe(log, { end: false });
   child.stderr.pipe(log, { end: false });
-  const ended = once(child, "exit").then(([code]) => code as number | null);
-  const ready = await readReadyLine(child, ended, logFile);
+  const exited = once(child, "exit").then(([code]) => code as number | null);
+  const ready = await readReadyLine(child, exited, logFile);
   const kill = (signal: NodeJS.Signals): void => {
     if (child.exitCode === null) child.kill(signal);
   };
@@ -67,10 +67,10 @@
     child,
     logFile,
     kill,
-    ended,
+    exited,
     async [Symbol.asyncDispose]() {
       kill("SIGKILL");
-      await ended;
+      await exited;
       log.end();
     },
   };
@@ -78,7 +78,7 @@
 
 async function readReadyLine(
   child: ChildProcess,
-  ended: Promise<number | null>,
+  exited: Promise<number | null>,
   logFile: string,
 ): Promise<ReadyLine> {
   const lines = createInterface({ input: child.stdout ?? process.stdin });
@@ -88,7 +88,7 @@
       if (value.ready === true) resolve(value);
     });
   });
-  const failed = ended.then((code) => {
+  const failed = exited.then((code) => {
     throw new Error(
       `daemon exited with code ${String(code)} before it was ready, see ${logFile}`,
     );
--- a/demo/faults.ts
+++ b/demo/faults.ts
@@ -48,7 +48,7 @@
     delayMs: DEMAND_SHIFT_SETTLE_MS,
     inject: async (site) => {
       const { daemon, engine } = site.runners[index];
-      const { name, operators, ended } = daemon.process;
+      const { name, operators, exited } = daemon.process;
       const drainStartedAtMs = Date.now();
       site.vmList.faults.lagMs = VM_LIST_LAG_MS;
       site.showVms((vm) =>
@@ -56,7 +56,7 @@
       );
       await fetch(`http://${operators}/leave`, { method: "POST" });
       return async () => {
-        const code = await ended;
+        const code = await exited;
         const runs = [...engine.runs.runs.values()];
         const late = runs.filter(
           ({ startedAtMs }) =>
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -65,7 +65,7 @@
   const folder = await mkdtemp(path.join(tmpdir(), "apricotdeck-"));
   const file = path.join(folder, `${name}.jsonc`);
   await writeFile(file, JSON.stringify(siteConfiguration(name, RUNNER_COUNT)));
-  site.log.faults.loseAppendAnswers = 1;
+  site.log.faults.dropAppendResponses = 1;
   const { code, stdout, stderr } = await runTool(site, "publish", file);
   print(stdout.trim().split("\n").at(-1) ?? "");
   return {
@@ -152,7 +152,7 @@
     },
   });
   const published = await publish(site, name);
-  await site.settled();
+  await site.waitUntilReady();
   const addresses = site.entries.map((entry) => entry.daemon.process.callers);
   const skewBefore = await site.group?.waitForSkew();
   const caller = { site: name, addresses: () => addresses, random };
--- a/demo/site-group.ts
+++ b/demo/site-group.ts
@@ -8,12 +8,12 @@
 import type { EngineStandIn } from "../standins/engine.js";
 import {
   EngineGroup,
-  quietSettings,
+  defaultEngineGroupSettings,
   type StepRecord,
 } from "../standins/engine-group.js";
 import {
   createEngineInterface,
-  driveGroup,
+  startGroupTimer,
 } from "../standins/engine-interface.js";
 import type { StandInCall } from "../standins/http.js";
 import {
@@ -60,7 +60,7 @@
   ) {
     const random = createRandom(options.seed);
     this.group = EngineGroup.create({
-      ...quietSettings,
+      ...defaultEngineGroupSettings,
       bytesPerExpert: options.bytesPerExpert,
       stepMs: STEP_MS,
       tokenMs: TOKEN_MS,
@@ -74,7 +74,7 @@
         this.engines.get(record.member)?.step();
       },
     });
-    this.stopSteps = driveGroup(this.group);
+    this.stopSteps = startGroupTimer(this.group);
   }
 
   static async create(options: SiteGroupOptions): Promise<SiteGroup> {
@@ -95,7 +95,7 @@
     this.group.start(member);
     const group = this.group;
     return createEngineInterface({ group, member, checksFencing: false })
-      .answer;
+      .handleCall;
   }
 
   attachEngine(member: string, engine: EngineStandIn): void {
--- a/demo/site-members.ts
+++ b/demo/site-members.ts
@@ -92,7 +92,7 @@
   const extension = group?.addEngine(settings.name);
   const engine = await startEngine({
     stepMs: hasExternalEngine ? IDLE_STEP_MS : stepMs,
-    ownSteps: group === undefined,
+    stepsOnTimer: group === undefined,
     ...(extension === undefined ? {} : { extension }),
   });
   group?.attachEngine(settings.name, engine);
--- a/demo/site.ts
+++ b/demo/site.ts
@@ -48,7 +48,7 @@
   /** Appends a publication as the command-line tool does. */
   readonly publish: (configuration: unknown) => Promise<void>;
   /** Resolves once every entry has a configuration and sees all backends. */
-  readonly settled: () => Promise<void>;
+  readonly waitUntilReady: () => Promise<void>;
 }
 
 interface EntryStatus {
@@ -89,7 +89,7 @@
   );
   const members = [...entries, ...runners, ...services];
   const showVms = (change: (vm: Vm) => Vm = (vm) => vm): void => {
-    vmList.change(members.map((member) => change(member.vm())));
+    vmList.setVms(members.map((member) => change(member.vm())));
   };
   showVms();
   return {
@@ -101,7 +101,7 @@
     services,
     showVms,
     publish: (configuration) => publish(log.address, configuration),
-    settled: async () => {
+    waitUntilReady: async () => {
       const backends = runners.length + services.length;
       for (const entry of entries) await waitForEntry(entry, backends);
     },
--- a/demo/soak.ts
+++ b/demo/soak.ts
@@ -89,7 +89,7 @@
     name: "log slow, two append answers lost",
     inject: async (site) => {
       site.log.faults.slowMs = 300;
-      site.log.faults.loseAppendAnswers = 2;
+      site.log.faults.dropAppendResponses = 2;
       await sleep(OUTAGE_MS);
       site.log.faults.slowMs = 0;
     },
@@ -202,7 +202,7 @@
     serviceGroup: SERVICE_GROUP,
   });
   await site.publish(siteConfiguration("dyfrwr", 4));
-  await site.settled();
+  await site.waitUntilReady();
   const addresses = site.entries.map(({ daemon }) => daemon.process.callers);
   const load = startLoad(
     {
--- a/fuzz/claims/claims.ts
+++ b/fuzz/claims/claims.ts
@@ -5,7 +5,7 @@
  */
 import fc from "fast-check";
 import { claimRules, coordinatorRules } from "../../src/internal.js";
-import { runHistories } from "../run-property.js";
+import { runHistories } from "../run-histories.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "../target.js";
 import { NO_FAULTS } from "./log.js";
 import {
--- a/fuzz/claims/log.ts
+++ b/fuzz/claims/log.ts
@@ -46,18 +46,18 @@
     onAnswer: (ok: boolean) => void,
   ): void {
     if (this.isDown) {
-      this.time.after(NETWORK_DELAY_MS, () => {
+      this.time.schedule(NETWORK_DELAY_MS, () => {
         onAnswer(false);
       });
       return;
     }
     const { delayMs, loseAnswer, duplicate } = this.nextAppend;
     this.nextAppend = NO_FAULTS;
-    this.time.after(NETWORK_DELAY_MS + delayMs, () => {
+    this.time.schedule(NETWORK_DELAY_MS + delayMs, () => {
       this.store(stream, data);
       if (duplicate) this.store(stream, data);
       if (!loseAnswer && delayMs === 0)
-        this.time.after(NETWORK_DELAY_MS, () => {
+        this.time.schedule(NETWORK_DELAY_MS, () => {
           onAnswer(true);
         });
     });
--- a/fuzz/claims/simulation.ts
+++ b/fuzz/claims/simulation.ts
@@ -294,7 +294,7 @@
       const started = this.dispatchedAttempts.get(effect.run);
       if (started === undefined) return;
       this.recordStart(started.key);
-      this.time.after(NETWORK_DELAY_MS, () => {
+      this.time.schedule(NETWORK_DELAY_MS, () => {
         this.recordOutcome(started.call, "answered");
         started.reply((c) => c.end(started.call, this.time.nowMs));
       });
@@ -302,7 +302,7 @@
     if (effect.kind !== "send" || effect.frame.kind !== "refused") return;
     const refused = this.dispatchedAttempts.get(effect.frame.attempt);
     if (refused === undefined) return;
-    this.time.after(NETWORK_DELAY_MS, () => {
+    this.time.schedule(NETWORK_DELAY_MS, () => {
       refused.reply((c) => c.onRefused(refused.call, this.time.nowMs));
     });
   }
@@ -377,7 +377,7 @@
   private dispatch(call: string, claim: ClaimEntry, reply: Reply): void {
     const delayMs = NETWORK_DELAY_MS + this.nextDispatchDelayMs;
     this.nextDispatchDelayMs = 0;
-    this.time.after(delayMs, () => {
+    this.time.schedule(delayMs, () => {
       const agent = this.agents.find(({ name }) => name === claim.agent);
       const nowMs = this.time.nowMs;
       const { agentIncarnation, attempt } = claim;
@@ -399,7 +399,7 @@
   ): void {
     const { call, claim, tombstone } = effect;
     const { attempt, agentIncarnation } = claim;
-    this.time.after(NETWORK_DELAY_MS, () => {
+    this.time.schedule(NETWORK_DELAY_MS, () => {
       const agent = this.agents.find(({ name }) => name === claim.agent);
       const query = { agentIncarnation, attempt, tombstone };
       const found = agent && this.answerQuery(agent, query);
@@ -408,7 +408,7 @@
       const answerReceived = isAnswered
         ? found
         : ({ kind: "unreachable" } as const);
-      this.time.after(NETWORK_DELAY_MS, () => {
+      this.time.schedule(NETWORK_DELAY_MS, () => {
         reply((coordinator) =>
           coordinator.onAgentAnswer(call, answerReceived, this.time.nowMs),
         );
@@ -453,7 +453,7 @@
   private scheduleReads(): void {
     if (this.isReadScheduled) return;
     this.isReadScheduled = true;
-    this.time.after(NETWORK_DELAY_MS, () => {
+    this.time.schedule(NETWORK_DELAY_MS, () => {
       this.isReadScheduled = false;
       if (this.log.isDown) return;
       for (let index = 0; index < ENTRIES; index += 1) this.read(index);
@@ -474,7 +474,7 @@
   }
 
   private scheduleTick(index: number, incarnation: number): void {
-    this.time.after(TICK_MS, () => {
+    this.time.schedule(TICK_MS, () => {
       const entry = this.entries[index];
       if (entry.incarnation !== incarnation) return;
       if (entry.isPaused) {
--- a/fuzz/configuration/configuration.ts
+++ b/fuzz/configuration/configuration.ts
@@ -4,7 +4,7 @@
  */
 import fc from "fast-check";
 import { acceptanceRules, type AcceptanceRules } from "../../src/internal.js";
-import { runHistories } from "../run-property.js";
+import { runHistories } from "../run-histories.js";
 import type { FuzzTarget } from "../target.js";
 import { ConfigurationSimulation, READER_COUNT } from "./simulation.js";
 
--- a/fuzz/expertmap-simulation.ts
+++ b/fuzz/expertmap-simulation.ts
@@ -20,7 +20,7 @@
 } from "../src/internal.js";
 import {
   EngineGroup,
-  quietSettings,
+  defaultEngineGroupSettings,
   type StepRecord,
 } from "../standins/engine-group.js";
 
@@ -88,10 +88,10 @@
       ranks: [rank],
     }));
     this.engines = EngineGroup.create({
-      ...quietSettings,
+      ...defaultEngineGroupSettings,
       bytesPerExpert: BYTES_PER_EXPERT,
       stepMs: TICK_MS,
-      holds: settings.engineHolds,
+      enforcesHolds: settings.engineHolds,
       onStep: (record) => this.steps.push(record),
     });
   }
--- a/fuzz/expertmap.ts
+++ b/fuzz/expertmap.ts
@@ -14,7 +14,7 @@
   GroupSimulation,
   type CallFault,
 } from "./expertmap-simulation.js";
-import { runJudged } from "./run-judged.js";
+import { runCheckedHistories } from "./run-checked-histories.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
 type Fault =
@@ -241,9 +241,9 @@
 function run(settings: FuzzSettings): Promise<FuzzResult> {
   const { mutation } = settings;
   return Promise.resolve(
-    runJudged(settings, {
+    runCheckedHistories(settings, {
       history,
-      judge: (input) => checkHistory(input, mutation),
+      check: (input) => checkHistory(input, mutation),
       title: ({ seed }) => `seed ${seed}`,
     }),
   );
--- a/fuzz/membership/directory-simulation.ts
+++ b/fuzz/membership/directory-simulation.ts
@@ -50,7 +50,7 @@
     this.directory = BackendServerDirectory.create({
       now: () => this.nowMs,
       after: (delayMs, action) => {
-        this.time.after(delayMs, action);
+        this.time.schedule(delayMs, action);
       },
       emit: ignoreEvents,
       onServerAvailable: (server) => this.active.set(server.id, server),
--- a/fuzz/membership/lives.ts
+++ b/fuzz/membership/incarnations.ts
@@ -8,7 +8,7 @@
 import fc from "fast-check";
 import { LAPSE_GRACE_MS } from "../../src/membership/directory.js";
 import type { BackendServer } from "../../src/membership/types.js";
-import { runJudged } from "../run-judged.js";
+import { runCheckedHistories } from "../run-checked-histories.js";
 import type { FuzzTarget } from "../target.js";
 import { expectedStateOf } from "./oracle.js";
 import { sharedAddressViolations } from "./shared-addresses.js";
@@ -25,10 +25,10 @@
 const MAX_WAIT_MS = 1200;
 
 /**
- * `told`: start times are known and each id has its own addresses; `shared`:
- * all ids use the same addresses; `untold`: start times are unknown.
+ * `known-starts`: start times are known and each id has its own addresses; `shared-addresses`:
+ * all ids use the same addresses; `unknown-starts`: start times are unknown.
  */
-type Mode = "told" | "shared" | "untold";
+type Mode = "known-starts" | "shared-addresses" | "unknown-starts";
 
 interface Registration {
   readonly id: (typeof IDS)[number];
@@ -45,7 +45,7 @@
   | { readonly kind: "outage"; readonly isAway: boolean }
   | { readonly kind: "wait"; readonly durationMs: number };
 
-export interface LivesHistory {
+export interface IncarnationHistory {
   readonly mode: Mode;
   readonly steps: readonly Command[];
 }
@@ -99,8 +99,12 @@
   },
 );
 
-const history: fc.Arbitrary<LivesHistory> = fc.record({
-  mode: fc.constantFrom("told" as const, "shared" as const, "untold" as const),
+const history: fc.Arbitrary<IncarnationHistory> = fc.record({
+  mode: fc.constantFrom(
+    "known-starts" as const,
+    "shared-addresses" as const,
+    "unknown-starts" as const,
+  ),
   steps: fc.array(command, {
     minLength: 1,
     maxLength: MAX_STEPS,
@@ -112,10 +116,11 @@
   mode: Mode,
   { id, incarnation, heartbeat, place, isLeaving }: Registration,
 ): BackendServer {
-  const host = mode === "shared" ? "shared" : id;
+  const host = mode === "shared-addresses" ? "shared-addresses" : id;
   return {
     id,
-    startedAtMs: mode === "untold" ? undefined : FIRST_START + incarnation,
+    startedAtMs:
+      mode === "unknown-starts" ? undefined : FIRST_START + incarnation,
     service: "model",
     address: `${host}:${place}`,
     dataCentre: "here",
@@ -153,7 +158,10 @@
 }
 
 /** Runs a history; returns the violations after its first failing step. */
-export function checkLives({ mode, steps }: LivesHistory): readonly string[] {
+export function checkIncarnations({
+  mode,
+  steps,
+}: IncarnationHistory): readonly string[] {
   const simulation = DirectorySimulation.create(LAPSE_GRACE_MS);
   for (const step of steps) {
     applyCommand(simulation, mode, step);
@@ -168,11 +176,11 @@
   mode: Mode,
 ): readonly string[] {
   switch (mode) {
-    case "told":
+    case "known-starts":
       return IDS.flatMap((id) => exactViolations(simulation, id));
-    case "shared":
+    case "shared-addresses":
       return sharedAddressViolations(simulation);
-    case "untold":
+    case "unknown-starts":
       return IDS.flatMap((id) => unknownStartViolations(simulation, id));
   }
 }
@@ -211,14 +219,14 @@
   return `${startedAtMs ?? "unknown start"} at ${address} with ${slots} slots`;
 }
 
-export const livesTarget: FuzzTarget = {
+export const incarnationsTarget: FuzzTarget = {
   name: "lives",
   mutations: {},
   run: (settings) =>
     Promise.resolve(
-      runJudged(settings, {
+      runCheckedHistories(settings, {
         history,
-        judge: checkLives,
+        check: checkIncarnations,
         title: ({ mode }) => `mode ${mode}`,
       }),
     ),
--- a/fuzz/orders.ts
+++ b/fuzz/orders.ts
@@ -8,7 +8,7 @@
 import fc from "fast-check";
 import { allOrderSafeguards } from "../src/internal.js";
 import { OrdersSimulation, TICK_MS } from "./orders-simulation.js";
-import { runJudged } from "./run-judged.js";
+import { runCheckedHistories } from "./run-checked-histories.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
 type Command =
@@ -101,7 +101,7 @@
 }
 
 /** Runs a history; returns the violations. */
-export function judgeOrders(
+export function checkOrders(
   { seed, checksFencing, steps }: OrdersHistory,
   mutation?: string,
 ): string[] {
@@ -135,9 +135,9 @@
 function run(settings: FuzzSettings): Promise<FuzzResult> {
   const { mutation } = settings;
   return Promise.resolve(
-    runJudged(settings, {
+    runCheckedHistories(settings, {
       history,
-      judge: (input) => judgeOrders(input, mutation),
+      check: (input) => checkOrders(input, mutation),
       title: ({ seed, checksFencing }) =>
         `seed ${seed}, checksFencing ${String(checksFencing)}`,
     }),
--- a/fuzz/records.ts
+++ b/fuzz/records.ts
@@ -20,7 +20,7 @@
   registerShape,
 } from "./records/register.js";
 import { createStepArbitrary, type Step } from "./records/steps.js";
-import { runHistories } from "./run-property.js";
+import { runHistories } from "./run-histories.js";
 import type { FuzzTarget } from "./target.js";
 
 const MAXIMUM_STEPS = 24;
--- a/fuzz/run-judged.ts
+++ b/fuzz/run-checked-histories.ts
@@ -11,14 +11,14 @@
 
 const PROGRESS_INTERVAL_HISTORIES = 5_000;
 
-export interface JudgedHistory {
+export interface CheckedHistory {
   readonly steps: readonly unknown[];
 }
 
-export interface JudgedRun<H extends JudgedHistory> {
+export interface HistoryCheck<H extends CheckedHistory> {
   readonly history: fc.Arbitrary<H>;
   /** Violations found in the history; empty when there are none. */
-  readonly judge: (history: H) => readonly string[];
+  readonly check: (history: H) => readonly string[];
   /**
    * First line of a counterexample: inputs other than the steps, such as the
    * seed.
@@ -26,9 +26,9 @@
   readonly title: (history: H) => string;
 }
 
-export function runJudged<H extends JudgedHistory>(
+export function runCheckedHistories<H extends CheckedHistory>(
   settings: FuzzSettings,
-  { history, judge, title }: JudgedRun<H>,
+  { history, check, title }: HistoryCheck<H>,
 ): FuzzResult {
   let histories = 0;
   let commands = 0;
@@ -37,14 +37,14 @@
     commands += input.steps.length;
     if (histories % PROGRESS_INTERVAL_HISTORIES === 0)
       settings.onProgress?.(histories);
-    const violations = judge(input);
+    const violations = check(input);
     if (violations.length > 0) throw new TypeError(violations.join("\n"));
   });
   const details = fc.check(property, checkParameters<[H]>(settings));
   const lines = details.counterexample?.flatMap((input) => [
     title(input),
     ...input.steps.map((step) => JSON.stringify(step)),
-    ...judge(input),
+    ...check(input),
   ]);
   return {
     histories: details.numRuns,
--- a/fuzz/suspects/suspects.ts
+++ b/fuzz/suspects/suspects.ts
@@ -12,7 +12,7 @@
   SuspectRequests,
 } from "../../src/suspects/suspect-requests.js";
 import type { CrashedRun, SuspectRecord } from "../../src/suspects/types.js";
-import { runJudged } from "../run-judged.js";
+import { runCheckedHistories } from "../run-checked-histories.js";
 import type { FuzzTarget } from "../target.js";
 
 const ENTRIES = 3;
@@ -255,9 +255,9 @@
   mutations: {},
   run: (settings) =>
     Promise.resolve(
-      runJudged(settings, {
+      runCheckedHistories(settings, {
         history,
-        judge: checkSuspects,
+        check: checkSuspects,
         title: () => "suspects",
       }),
     ),
--- a/fuzz/targets.ts
+++ b/fuzz/targets.ts
@@ -13,5 +13,6 @@
   records: async () => (await import("./records.js")).recordsTarget,
   claims: async () => (await import("./claims/claims.js")).claimsTarget,
   suspects: async () => (await import("./suspects/suspects.js")).suspectsTarget,
-  lives: async () => (await import("./membership/lives.js")).livesTarget,
+  lives: async () =>
+    (await import("./membership/incarnations.js")).incarnationsTarget,
 };
--- a/fuzz/virtual-time.ts
+++ b/fuzz/virtual-time.ts
@@ -20,7 +20,7 @@
     return this.currentMs;
   }
 
-  after(delayMs: number, run: () => void): void {
+  schedule(delayMs: number, run: () => void): void {
     const atMs = this.currentMs + delayMs;
     let index = this.events.length;
     while (index > 0 && (this.events[index - 1]?.atMs ?? 0) > atMs) index -= 1;
--- a/measure/admission.ts
+++ b/measure/admission.ts
@@ -10,15 +10,18 @@
   scaledStreams,
   type AdmissionScenario,
 } from "./support/admission-scenarios.js";
-import { ours } from "./support/choosers.js";
+import { placementChooser } from "./support/choosers.js";
 import {
-  createAdmittedEntry,
+  createAdmissionEntry,
   createPlainEntry,
   type CreateEntry,
   type Entry,
   type Outcome,
 } from "./support/entries.js";
-import { evaluateCalls, type AdmissionResult } from "./support/judge.js";
+import {
+  evaluateCalls,
+  type AdmissionResult,
+} from "./support/admission-result.js";
 import { Site, type SiteSettings } from "./support/site.js";
 import { printTable, type Row } from "./support/summary.js";
 import { generateCalls, pickEntry, type Call } from "./support/workload.js";
@@ -27,7 +30,7 @@
   runners: 12,
   slots: 8,
   entries: 3,
-  chooser: ours(),
+  chooser: placementChooser(),
   reportMs: 200,
   reportLagMs: 100,
   cacheLagMs: 300,
@@ -99,7 +102,7 @@
 
 const ENTRY_POLICIES: Readonly<Record<string, CreateEntry>> = {
   "plain queue": createPlainEntry,
-  ours: createAdmittedEntry,
+  ours: createAdmissionEntry,
 };
 
 /** Entries with each combination of the tuned constants, for `--sweep`. */
@@ -110,7 +113,7 @@
       const name = `wait ${waitShare}, margin ${serviceMargin}`;
       const tuning = { waitShare, serviceMargin };
       policies[name] = (site, entry) =>
-        createAdmittedEntry(site, entry, tuning);
+        createAdmissionEntry(site, entry, tuning);
     }
   }
   return policies;
--- a/measure/path.ts
+++ b/measure/path.ts
@@ -105,7 +105,7 @@
       engineAddresses: addresses,
     });
     await site.publish(siteConfiguration("dyfrwr", RUNNERS));
-    await site.settled();
+    await site.waitUntilReady();
     await measureSite(site, addresses);
   } finally {
     for (const child of children) child.kill();
--- a/measure/placement.ts
+++ b/measure/placement.ts
@@ -6,7 +6,7 @@
 import { createRandom } from "../src/internal.js";
 import {
   leastInFlight,
-  ours,
+  placementChooser,
   randomChoice,
   roundRobin,
   twoChoices,
@@ -74,7 +74,7 @@
 
 const FAULT_FROM_MS = 10_000;
 
-export const SCENARIOS: readonly PlacementScenario[] = [
+export const PLACEMENT_SCENARIOS: readonly PlacementScenario[] = [
   { name: "even", settings: {}, streams: [DRAFTS], load: 0.85 },
   { name: "skewed prefixes", settings: {}, streams: [SKEWED], load: 0.9 },
   {
@@ -237,7 +237,7 @@
   random: randomChoice,
   "least in flight": leastInFlight,
   "two choices": twoChoices,
-  ours: ours(),
+  ours: placementChooser(),
 };
 
 /** Choosers with each combination of the tuned constants, for `--sweep`. */
@@ -246,7 +246,7 @@
   for (const samples of [4, 8, 16, 32]) {
     for (const reportDecayMs of [100, 300, 1000]) {
       const name = `${samples} samples, ${reportDecayMs} ms`;
-      choosers[name] = ours({
+      choosers[name] = placementChooser({
         fullScanLimit: samples,
         sampleCount: samples,
         reportDecayMs,
@@ -270,7 +270,7 @@
   const durationMs = Number(values.seconds) * 1000;
   const choosers = values.sweep ? sweepChoosers() : CHOOSERS;
   const summary: Record<string, Record<string, PlacementResult>> = {};
-  for (const scenario of SCENARIOS) {
+  for (const scenario of PLACEMENT_SCENARIOS) {
     if (!scenario.name.includes(values.only)) continue;
     const rows: Row[] = [];
     const results: Record<string, PlacementResult> = {};
--- a/measure/support/choosers.ts
+++ b/measure/support/choosers.ts
@@ -37,7 +37,9 @@
 
 export type CreateChooser = (inputs: ChooserInputs) => Chooser;
 
-export function ours(tuning: Partial<PlacementTuning> = {}): CreateChooser {
+export function placementChooser(
+  tuning: Partial<PlacementTuning> = {},
+): CreateChooser {
   return ({ now, random, runners, settings, dataCentre }) => {
     const placement = Placement.create({
       now,
--- a/measure/support/entries.ts
+++ b/measure/support/entries.ts
@@ -113,7 +113,7 @@
 }
 
 /** Combines admission, placement and the retry allowance as a real entry does. */
-export function createAdmittedEntry(
+export function createAdmissionEntry(
   site: Site,
   entry: number,
   tuning: Partial<AdmissionTuning> = {},
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -34,7 +34,7 @@
    * Whether engines hold at the step of an uncommitted proposal. Only the
    * fuzzer's mutation test turns this off.
    */
-  readonly holds: boolean;
+  readonly enforcesHolds: boolean;
   /** Called for every step that a member begins; test oracles record these. */
   readonly onStep: (record: StepRecord) => void;
 }
@@ -64,14 +64,14 @@
 
 const MAX_KEPT_REPORTS = 4_096;
 
-export const quietSettings: EngineGroupSettings = {
+export const defaultEngineGroupSettings: EngineGroupSettings = {
   bytesPerExpert: 1,
   stepMs: 5,
   tokenMs: 0,
   demand: () => [],
   speed: () => 1,
   reportDelayMs: () => undefined,
-  holds: true,
+  enforcesHolds: true,
   onStep: () => undefined,
 };
 
@@ -152,7 +152,7 @@
       return false;
     }
     if (!this.peersReachedStep(register, now)) return false;
-    return !(register.mustHold(now) && this.settings.holds);
+    return !(register.mustHold(now) && this.settings.enforcesHolds);
   }
 
   private peersReachedStep(register: MapRegister, now: number): boolean {
--- a/standins/engine-interface.ts
+++ b/standins/engine-interface.ts
@@ -9,7 +9,7 @@
 
 export interface EngineInterfaceFaults {
   /** Number of upcoming responses to drop after the call was applied. */
-  lostAnswers: number;
+  droppedResponses: number;
   /** Delay before an order is applied. */
   orderDelayMs: number;
 }
@@ -22,8 +22,8 @@
 export interface EngineInterface {
   readonly faults: EngineInterfaceFaults;
   /** Every applied order, in the order of application. */
-  readonly effects: readonly OrderRecord[];
-  readonly answer: (call: StandInCall) => Promise<boolean>;
+  readonly appliedOrders: readonly OrderRecord[];
+  readonly handleCall: (call: StandInCall) => Promise<boolean>;
 }
 
 export interface EngineInterfaceOptions {
@@ -38,8 +38,11 @@
   options: EngineInterfaceOptions,
 ): EngineInterface {
   const { group, member, checksFencing } = options;
-  const faults: EngineInterfaceFaults = { lostAnswers: 0, orderDelayMs: 0 };
-  const effects: OrderRecord[] = [];
+  const faults: EngineInterfaceFaults = {
+    droppedResponses: 0,
+    orderDelayMs: 0,
+  };
+  const appliedOrders: OrderRecord[] = [];
   const values: Partial<Record<OrderKind, string>> = {};
   let highestFencing = -1;
 
@@ -48,8 +51,8 @@
     body: unknown,
     accepted: boolean,
   ): void => {
-    if (faults.lostAnswers > 0) {
-      faults.lostAnswers -= 1;
+    if (faults.droppedResponses > 0) {
+      faults.droppedResponses -= 1;
       response.destroy();
     } else sendJson(response, body, accepted ? 200 : 409);
   };
@@ -101,11 +104,11 @@
     }
     highestFencing = Math.max(highestFencing, order.fencing);
     values[order.kind] = order.value;
-    effects.push({ atMs: Date.now(), order });
+    appliedOrders.push({ atMs: Date.now(), order });
     send(call, engineState(), true);
   };
 
-  const answer = async (call: StandInCall): Promise<boolean> => {
+  const handleCall = async (call: StandInCall): Promise<boolean> => {
     const { pathname, searchParams } = call.url;
     if (pathname === "/expert-map/weights") await answerWeights(call);
     else if (pathname.startsWith("/expert-map")) await answerMap(call);
@@ -118,7 +121,7 @@
     return true;
   };
 
-  return { faults, effects, answer };
+  return { faults, appliedOrders, handleCall };
 }
 
 function parseReadCall({ url }: StandInCall): EngineCall {
@@ -135,7 +138,7 @@
 }
 
 /** Advances the group's engines in real time; returns a stop function. */
-export function driveGroup(group: EngineGroup): () => void {
+export function startGroupTimer(group: EngineGroup): () => void {
   const timer = setInterval(() => {
     group.advance(Date.now());
   }, 1);
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -41,7 +41,7 @@
   readonly stepMs: number;
   readonly limits?: Partial<EngineLimits>;
   /** False if an engine group runs the steps of its engines in lockstep. */
-  readonly ownSteps?: boolean;
+  readonly stepsOnTimer?: boolean;
   /** Handles other paths; resolves with false if it doesn't know the path. */
   readonly extension?: (call: StandInCall) => Promise<boolean>;
 }
@@ -96,7 +96,7 @@
       engine.loadSamples.shift();
   };
   const stopSteps =
-    options.ownSteps === false
+    options.stepsOnTimer === false
       ? () => undefined
       : startStepTimer(step, () => options.stepMs + faults.slowStepMs);
   const server = await startServer(async (call) => {
--- a/standins/keyed-store.ts
+++ b/standins/keyed-store.ts
@@ -72,7 +72,7 @@
 export type StoreSnapshot = ReadonlyMap<string, number>;
 
 export class KeyedStore implements AsyncDisposable {
-  mood: StoreAvailability = "well";
+  availability: StoreAvailability = "well";
   /** Incremented by each restore from a snapshot. */
   era = 1;
   /** Call count by path, including refused calls. */
@@ -107,7 +107,7 @@
   }
 
   /** Appends raw bytes without the key framing of a regular record. */
-  putUnframed(topic: string, bytes: Buffer): void {
+  putRawRecord(topic: string, bytes: Buffer): void {
     this.getOrCreateTopic(topic).append({
       key: "",
       value: undefined,
@@ -115,23 +115,23 @@
     });
   }
 
-  drop(topic: string, key: string): void {
+  appendTombstone(topic: string, key: string): void {
     this.getOrCreateTopic(topic).append({ key, value: undefined });
   }
 
   /** Trims the topic's history; the newest record of each key remains. */
-  forgetHistory(topic: string): void {
+  trimHistory(topic: string): void {
     const trimmed = this.getOrCreateTopic(topic);
     trimmed.firstOffset = trimmed.nextOffset;
   }
 
-  copy(): StoreSnapshot {
+  takeSnapshot(): StoreSnapshot {
     const topics = [...this.topics];
     return new Map(topics.map(([name, { nextOffset }]) => [name, nextOffset]));
   }
 
   /** Restores a snapshot; everything written after it is lost. */
-  returnFrom(copy: StoreSnapshot): void {
+  restoreSnapshot(copy: StoreSnapshot): void {
     this.era += 1;
     for (const [name, topic] of this.topics)
       topic.truncateTo(copy.get(name) ?? 0);
@@ -147,9 +147,9 @@
   ): Promise<void> {
     const url = new URL(request.url ?? "/", "http://store");
     this.calls.set(url.pathname, (this.calls.get(url.pathname) ?? 0) + 1);
-    if (this.mood === "silent") return;
+    if (this.availability === "silent") return;
     response.setHeader(headerNames.storeEra, this.era);
-    if (this.mood === "refusing") {
+    if (this.availability === "refusing") {
       response.writeHead(STATUS_UNAVAILABLE).end();
       return;
     }
--- a/standins/log.ts
+++ b/standins/log.ts
@@ -17,11 +17,11 @@
   /** Delay before every call is handled. */
   slowMs: number;
   /** Number of upcoming appends that are applied but get no response. */
-  loseAppendAnswers: number;
+  dropAppendResponses: number;
   /** Number of upcoming appends to reject without effect. */
   refuseAppends: number;
   /** Holds appends until this many are pending, then applies them in order. */
-  gatherAppends: number;
+  holdAppends: number;
 }
 
 export interface LogStandIn extends StandInServer {
@@ -61,9 +61,9 @@
     faults: {
       outage: false,
       slowMs: 0,
-      loseAppendAnswers: 0,
+      dropAppendResponses: 0,
       refuseAppends: 0,
-      gatherAppends: 0,
+      holdAppends: 0,
     },
     heldAppends: [],
     appends: 0,
@@ -106,12 +106,12 @@
 }
 
 async function holdForBatch({ faults, heldAppends }: LogState): Promise<void> {
-  if (faults.gatherAppends === 0) return;
+  if (faults.holdAppends === 0) return;
   const released = new Promise<void>((resolve) => {
     heldAppends.push(resolve);
   });
-  if (heldAppends.length >= faults.gatherAppends) {
-    faults.gatherAppends = 0;
+  if (heldAppends.length >= faults.holdAppends) {
+    faults.holdAppends = 0;
     for (const proceed of heldAppends.splice(0)) proceed();
   }
   await released;
@@ -137,8 +137,8 @@
   }
   state.appends += 1;
   for (const wake of stream.waiters) wake();
-  if (faults.loseAppendAnswers > 0) {
-    faults.loseAppendAnswers -= 1;
+  if (faults.dropAppendResponses > 0) {
+    faults.dropAppendResponses -= 1;
     response.destroy();
     return;
   }
--- a/standins/plain-service.ts
+++ b/standins/plain-service.ts
@@ -8,7 +8,7 @@
 
 export interface PlainServiceStandIn extends StandInServer {
   /** Request ids in execution order. */
-  readonly ran: readonly string[];
+  readonly executedRequestIds: readonly string[];
   /** Request bodies in execution order. */
   readonly bodies: readonly string[];
   readonly faults: PlainServiceFaults;
@@ -24,7 +24,7 @@
 export async function startPlainService(
   port = 0,
 ): Promise<PlainServiceStandIn> {
-  const ran: string[] = [];
+  const executedRequestIds: string[] = [];
   const bodies: string[] = [];
   const faults: PlainServiceFaults = {
     delayMs: 0,
@@ -35,7 +35,7 @@
     async ({ method, url, request, response }) => {
       const body = await readBody(request);
       const id = String(request.headers["x-request-id"] ?? "");
-      ran.push(id);
+      executedRequestIds.push(id);
       bodies.push(body.toString());
       if (faults.delayMs > 0) await sleep(faults.delayMs);
       if (faults.cutAnswers > 0) {
@@ -52,5 +52,5 @@
     },
     port,
   );
-  return { ...server, ran, bodies, faults };
+  return { ...server, executedRequestIds, bodies, faults };
 }
--- a/standins/signing-runner.ts
+++ b/standins/signing-runner.ts
@@ -18,15 +18,15 @@
   readonly headers: IncomingMessage["headers"];
   readonly body: string;
   /** Set if the connection closed before the response was complete. */
-  isAbandoned: boolean;
+  isAborted: boolean;
 }
 
 export interface Exchange {
-  readonly arrival: ReceivedRequest;
+  readonly received: ReceivedRequest;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   /** Response headers that identify the runner and the attempt. */
-  readonly signed: Readonly<Record<string, string>>;
+  readonly signatureHeaders: Readonly<Record<string, string>>;
 }
 
 export type Behaviour = (exchange: Exchange) => void | Promise<void>;
@@ -34,7 +34,7 @@
 const STATUS_MISDIRECTED = 421;
 
 export class SigningRunner implements AsyncDisposable {
-  readonly arrivals: ReceivedRequest[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
   /** Number of requests addressed to another runner. */
   misdirected = 0;
   /** Number of crashes so far. */
@@ -98,24 +98,24 @@
       response.writeHead(STATUS_MISDIRECTED).end();
       return;
     }
-    const arrival = await readRequest(request);
+    const received = await readRequest(request);
     response.once("close", () => {
-      arrival.isAbandoned = !response.writableFinished;
+      received.isAborted = !response.writableFinished;
     });
-    this.arrivals.push(arrival);
+    this.receivedRequests.push(received);
     const attempt = String(request.headers[headerNames.attemptId]);
-    const signed = {
+    const signatureHeaders = {
       [headerNames.attemptId]: attempt,
       [headerNames.signature]: `${this.id}.${attempt}`,
     };
-    await this.behave({ arrival, request, response, signed });
+    await this.behave({ received, request, response, signatureHeaders });
   }
 }
 
 /** Sends a complete response. */
 export function answerWith(body: string, status = 200): Behaviour {
-  return ({ response, signed }) => {
-    response.writeHead(status, signed).end(body);
+  return ({ response, signatureHeaders }) => {
+    response.writeHead(status, signatureHeaders).end(body);
   };
 }
 
@@ -133,9 +133,9 @@
   head: string,
   body: string,
   end: ConnectionEnd = "open",
-): (exchange: Pick<Exchange, "request" | "signed">) => void {
-  return ({ request: { socket }, signed }) => {
-    const lines = Object.entries(signed).map(
+): (exchange: Pick<Exchange, "request" | "signatureHeaders">) => void {
+  return ({ request: { socket }, signatureHeaders }) => {
+    const lines = Object.entries(signatureHeaders).map(
       ([name, value]) => `${name}: ${value}\r\n`,
     );
     socket.write(`HTTP/1.1 200 OK\r\n${lines.join("")}${head}\r\n${body}`);
@@ -163,17 +163,17 @@
 };
 
 /** Never responds. */
-export const staySilent: Behaviour = () => undefined;
+export const neverRespond: Behaviour = () => undefined;
 
 /**
  * Streams events, resuming after the Last-Event-ID header. With `breakAfter`,
  * resets the connection in the middle of the event that follows that id.
  */
 export function streamEvents(total: number, breakAfter?: number): Behaviour {
-  return async ({ request, response, signed }) => {
+  return async ({ request, response, signatureHeaders }) => {
     const after = Number(request.headers[headerNames.lastEventId] ?? 0);
     response.writeHead(200, {
-      ...signed,
+      ...signatureHeaders,
       "content-type": "text/event-stream",
     });
     for (let id = after + 1; id <= total; id += 1) {
@@ -183,14 +183,14 @@
         request.socket.resetAndDestroy();
         return;
       }
-      response.write(eventOf(id));
+      response.write(formatEvent(id));
       await sleepMs(1);
     }
     response.end();
   };
 }
 
-export function eventOf(id: number): string {
+export function formatEvent(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
@@ -202,7 +202,7 @@
     target: request.url ?? "",
     headers: request.headers,
     body: Buffer.concat(parts).toString(),
-    isAbandoned: false,
+    isAborted: false,
   };
 }
 
--- a/standins/vm-list.ts
+++ b/standins/vm-list.ts
@@ -4,7 +4,7 @@
 
 export interface VmListStandIn extends StandInServer {
   /** Replaces the list; readers see the change after `lagMs`. */
-  readonly change: (vms: readonly Vm[]) => void;
+  readonly setVms: (vms: readonly Vm[]) => void;
   readonly faults: { lagMs: number; outage: boolean };
 }
 
@@ -18,7 +18,7 @@
   return {
     ...server,
     faults,
-    change: (vms) => {
+    setVms: (vms) => {
       const publish = (): void => {
         visibleVms = vms;
       };
--- a/tests/admission/daemon.test.ts
+++ b/tests/admission/daemon.test.ts
@@ -53,7 +53,7 @@
       serviceGroup: SERVICE_GROUP,
     });
     await site.publish(singleRequestConfiguration());
-    await site.settled();
+    await site.waitUntilReady();
     const ended: number[] = [];
     const calls = [1, 2, 3].map(async () => {
       const response = await sendCompletion(site);
--- a/tests/admission/load.test.ts
+++ b/tests/admission/load.test.ts
@@ -2,10 +2,10 @@
 import { runAdmission } from "../../measure/admission.js";
 import { ADMISSION_SCENARIOS } from "../../measure/support/admission-scenarios.js";
 import {
-  createAdmittedEntry,
+  createAdmissionEntry,
   createPlainEntry,
 } from "../../measure/support/entries.js";
-import type { AdmissionResult } from "../../measure/support/judge.js";
+import type { AdmissionResult } from "../../measure/support/admission-result.js";
 import { describe, it } from "../support/describe.js";
 
 const SEED = 7;
@@ -13,7 +13,7 @@
 
 function run(
   name: string,
-  createEntry = createAdmittedEntry,
+  createEntry = createAdmissionEntry,
   durationMs = DURATION_MS,
 ): AdmissionResult {
   const scenario = ADMISSION_SCENARIOS.find((item) => item.name === name);
@@ -67,7 +67,7 @@
   });
 
   it("get short answers in time among long ones", () => {
-    const result = run("long and short", createAdmittedEntry, 100_000);
+    const result = run("long and short", createAdmissionEntry, 100_000);
     assert.ok(result.firstPriority >= 0.98, `${result.firstPriority}`);
     assert.ok(result.goodput >= 0.95, `${result.goodput}`);
   });
@@ -76,7 +76,7 @@
   // against recovering runners getting several times the usual load, as happens
   // with only a cap on the attempts of each request.
   it("don't cause a retry storm after an outage", () => {
-    const result = run("outage of 30 s", createAdmittedEntry, 80_000);
+    const result = run("outage of 30 s", createAdmissionEntry, 80_000);
     assert.ok(result.amplification <= 1.1, `${result.amplification}`);
     assert.is(result.late, 0);
   });
--- a/tests/callers/unmarked-answers.test.ts
+++ b/tests/callers/unmarked-answers.test.ts
@@ -10,7 +10,7 @@
 } from "../../src/daemon/settings.js";
 import { failure } from "../../src/internal.js";
 import { describe, it } from "../support/describe.js";
-import { callHttp, type SeenAnswer } from "../support/http-call.js";
+import { callHttp, type ObservedResponse } from "../support/http-call.js";
 
 const BUFFER_LIMIT_BYTES = 1024;
 const LARGE_PIECE = Buffer.alloc(2 * BUFFER_LIMIT_BYTES, "a");
@@ -44,12 +44,12 @@
 async function observeAnswer(
   writeAnswer: WriteAnswer,
   streamed = false,
-): Promise<SeenAnswer> {
+): Promise<ObservedResponse> {
   await using server = await startServer(writeAnswer, streamed);
   return await callHttp({ address: server.address, path: "/" });
 }
 
-function framingOf({ headers }: SeenAnswer) {
+function framingOf({ headers }: ObservedResponse) {
   return {
     length: headers["content-length"],
     coding: headers["transfer-encoding"],
@@ -80,7 +80,7 @@
     assert.equal(framingOf(observed), CLOSE_DELIMITED);
     assert.is(observed.headers["apricotdeck-outcome"], "unmarked");
     assert.equal([observed.status, observed.body], [200, "half of"]);
-    assert.is(observed.fault, undefined);
+    assert.is(observed.connectionError, undefined);
   });
 
   // The head of an answer over the buffer limit is sent before its end is
@@ -93,7 +93,7 @@
     });
     assert.equal(framingOf(observed), CLOSE_DELIMITED);
     assert.is(observed.body.length, LARGE_PIECE.length);
-    assert.is(observed.fault, undefined);
+    assert.is(observed.connectionError, undefined);
   });
 
   // A partly sent answer that is delimited by connection close breaks off: a
@@ -107,7 +107,7 @@
       });
     });
     assert.equal(framingOf(observed), CLOSE_DELIMITED);
-    assert.is(observed.fault, "ECONNRESET");
+    assert.is(observed.connectionError, "ECONNRESET");
   });
 
   // The head announced a marked end and was sent with chunked coding. The
@@ -122,7 +122,7 @@
         });
       }, streamed);
       assert.is(framingOf(observed).coding, "chunked");
-      assert.is(observed.fault, "ECONNRESET");
+      assert.is(observed.connectionError, "ECONNRESET");
       assert.not.ok(observed.body.includes("[DONE]"));
     }
   });
@@ -137,7 +137,7 @@
     }, true);
     assert.equal(framingOf(observed), CLOSE_DELIMITED);
     assert.is(observed.body, "data: half of\n\n");
-    assert.is(observed.fault, undefined);
+    assert.is(observed.connectionError, undefined);
   });
 
   it("isn't continued by a later attempt after it was discarded", async () => {
@@ -148,7 +148,7 @@
       Buffer.from("b"),
       Buffer.alloc(2 * BUFFER_LIMIT_BYTES, "b"),
     ]) {
-      const { body, fault } = await observeAnswer((writer) => {
+      const { body, connectionError } = await observeAnswer((writer) => {
         writer.head(200, [], false);
         writer.piece(LARGE_PIECE);
         afterFirstBytes(() => {
@@ -159,7 +159,7 @@
         });
       });
       assert.not.ok(body.includes("b"));
-      assert.is(fault, "ECONNRESET");
+      assert.is(connectionError, "ECONNRESET");
     }
   });
 
@@ -191,7 +191,7 @@
     };
     await using server = await startServer(writeAnswer, false);
     const [host, port] = server.address.split(":");
-    const fault = await new Promise<string | undefined>((resolve) => {
+    const connectionError = await new Promise<string | undefined>((resolve) => {
       const socket = connect(Number(port), host);
       let code: string | undefined;
       socket.on("error", (error: NodeJS.ErrnoException) => {
@@ -203,6 +203,6 @@
       socket.resume();
       socket.write("GET / HTTP/1.0\r\n\r\n");
     });
-    assert.is(fault, "ECONNRESET");
+    assert.is(connectionError, "ECONNRESET");
   });
 });
--- a/tests/claims/at-most-once.test.ts
+++ b/tests/claims/at-most-once.test.ts
@@ -24,7 +24,7 @@
     profile.name === "records" ? { ...profile, repeatable: false } : profile,
   );
   await site.publish({ ...configuration, profiles });
-  await site.settled();
+  await site.waitUntilReady();
   return site;
 }
 
@@ -60,7 +60,7 @@
 describe("non-repeatable calls in separate processes", () => {
   it("run at most once despite log faults and repeats", async () => {
     await using site = await startOrderSite();
-    const { ran } = site.services[0].service;
+    const { executedRequestIds } = site.services[0].service;
 
     // With a valid key, without a key, and with a malformed key.
     assert.is((await order(site, 0, uuidV7())).status, 200);
@@ -68,7 +68,7 @@
     const malformed = await order(site, 0, uuidV4());
     assert.is(malformed.status, 400);
     assert.is(malformed.outcome, "not-run");
-    assert.is(ran.length, 2);
+    assert.is(executedRequestIds.length, 2);
 
     // A caller repeats the call at the other entry, first sequentially, then
     // concurrently. The other entry finds the claim in the log, so the repeat
@@ -83,13 +83,13 @@
     ]);
     assert.is(concurrentFirst.status, 200);
     assert.equal(concurrentSecond, concurrentFirst);
-    assert.is(ran.length, 4);
+    assert.is(executedRequestIds.length, 4);
 
     // The claim is appended, but the log's answer is lost. The entry finds out
     // by reading that its claim won.
-    site.log.faults.loseAppendAnswers = 1;
+    site.log.faults.dropAppendResponses = 1;
     assert.is((await order(site, 0, uuidV7())).status, 200);
-    assert.is(ran.length, 5);
+    assert.is(executedRequestIds.length, 5);
 
     // The log is down. Another entry may have claimed the caller's key, so the
     // outcome is unknown; a call without a key didn't run. Both are refused
@@ -103,9 +103,9 @@
     assert.equal([keyed.status, keyed.outcome], [503, "unknown"]);
     assert.equal([keyless.status, keyless.outcome], [503, "not-run"]);
     assert.ok(keyed.retryAfter);
-    assert.is(ran.length, 5);
+    assert.is(executedRequestIds.length, 5);
     site.log.faults.outage = false;
     assert.is((await order(site, 1, outageKey)).status, 200);
-    assert.is(ran.length, 6);
+    assert.is(executedRequestIds.length, 6);
   });
 });
--- a/tests/cli/tool.test.ts
+++ b/tests/cli/tool.test.ts
@@ -62,7 +62,7 @@
     const published = await runTool(site, "publish", file, "--author", "ops");
     assert.is(published.code, 0, published.stderr);
     assert.match(published.stdout, /version 0 is in force at 2 processes/);
-    await site.settled();
+    await site.waitUntilReady();
 
     const request = await completeOnce(site);
     const timeline = await runTool(site, "timeline", "--request", request);
@@ -100,7 +100,7 @@
   it("accepts exactly one of two concurrent publications", async () => {
     await using site = await startSmallSite();
     const file = await configurationFile(siteConfiguration("ben-ammar", 1));
-    site.log.faults.gatherAppends = 2;
+    site.log.faults.holdAppends = 2;
     const results = await Promise.all([
       runTool(site, "publish", file, "--author", "first"),
       runTool(site, "publish", file, "--author", "second"),
@@ -118,7 +118,7 @@
   it("finds an append whose answer was lost by reading the log", async () => {
     await using site = await startSmallSite();
     const file = await configurationFile(siteConfiguration("ben-ammar", 1));
-    site.log.faults.loseAppendAnswers = 1;
+    site.log.faults.dropAppendResponses = 1;
     const { code, stderr } = await runTool(site, "publish", file);
     assert.is(code, 0, stderr);
     const { history } = (await runToolJson(site, "history")) as {
@@ -134,7 +134,7 @@
     await using site = await startSmallSite();
     const configuration = siteConfiguration("ben-ammar", 1);
     await site.publish(configuration);
-    await site.settled();
+    await site.waitUntilReady();
 
     const shown = (await runToolJson(site, "show")) as {
       version: number;
--- a/tests/configuration/follower-site.ts
+++ b/tests/configuration/follower-site.ts
@@ -47,7 +47,7 @@
   const client = LogClient.create(log.address);
   const running: RunningFollower[] = [];
   const list = (): void => {
-    vmList.change(running.map(toVm));
+    vmList.setVms(running.map(toVm));
   };
   return {
     log,
--- a/tests/daemon/answer-framing.test.ts
+++ b/tests/daemon/answer-framing.test.ts
@@ -40,7 +40,7 @@
     });
     const answer = await callHttp({ address: listening.address, path: "/" });
     assert.is(answer.body, "first last");
-    assert.is(answer.fault, "ECONNRESET");
+    assert.is(answer.connectionError, "ECONNRESET");
   });
 
   it("closes the connection after an earlier pipelined answer", async () => {
--- a/tests/direct/attempt.test.ts
+++ b/tests/direct/attempt.test.ts
@@ -5,7 +5,7 @@
 import { listen } from "../../src/daemon/listening.js";
 import { Attempt } from "../../src/direct/attempt.js";
 import { connectRunner } from "../../src/direct/runner-connections.js";
-import { answerRaw, eventOf } from "../../standins/signing-runner.js";
+import { answerRaw, formatEvent } from "../../standins/signing-runner.js";
 import { describe, it } from "../support/describe.js";
 
 const ATTEMPT_ID = "attempt-1";
@@ -27,11 +27,11 @@
     };
     process.on("uncaughtException", onFault);
     const server = createServer((request) => {
-      const signed = {
+      const signatureHeaders = {
         [headerNames.attemptId]: ATTEMPT_ID,
         [headerNames.signature]: "signature",
       };
-      answerRaw("", eventOf(1))({ request, signed });
+      answerRaw("", formatEvent(1))({ request, signatureHeaders });
       setTimeout(() => request.socket.end(), END_AFTER_MS);
     });
     await using runner = await listen(server, { host: "127.0.0.1", port: 0 });
--- a/tests/direct/group-simulation.ts
+++ b/tests/direct/group-simulation.ts
@@ -131,7 +131,7 @@
 
   private scheduleCall(): void {
     const waitMs = (-Math.log(1 - this.random()) * 1000) / this.options.rate;
-    this.time.after(waitMs, () => {
+    this.time.schedule(waitMs, () => {
       this.placeCall();
       this.scheduleCall();
     });
@@ -182,7 +182,7 @@
     const passMs =
       slowness *
       (MINIMUM_PASS_MS + PASS_MS_PER_STREAM * this.streams[group].size);
-    this.time.after(passMs, () => {
+    this.time.schedule(passMs, () => {
       for (const stream of this.streams[group]) this.onEvent(stream);
       this.schedulePass(group);
     });
--- a/tests/expertmap/group-site.ts
+++ b/tests/expertmap/group-site.ts
@@ -18,12 +18,12 @@
 import { startEngine } from "../../standins/engine.js";
 import {
   EngineGroup,
-  quietSettings,
+  defaultEngineGroupSettings,
   type StepRecord,
 } from "../../standins/engine-group.js";
 import {
   createEngineInterface,
-  driveGroup,
+  startGroupTimer,
   type EngineInterface,
 } from "../../standins/engine-interface.js";
 import { startLog } from "../../standins/log.js";
@@ -83,13 +83,13 @@
       balance: { skewWeight: 0.5 },
     };
     this.engines = EngineGroup.create({
-      ...quietSettings,
+      ...defaultEngineGroupSettings,
       bytesPerExpert,
       stepMs: STEP_MS,
       reportDelayMs: () => 20,
       onStep: (record) => this.steps.push(record),
     });
-    this.stopSteps = driveGroup(this.engines);
+    this.stopSteps = startGroupTimer(this.engines);
   }
 
   static async create(options: GroupSiteOptions): Promise<GroupSite> {
@@ -204,7 +204,7 @@
     this.vmList = list.address;
     this.log = log.address;
     this.changeVmList = (names) => {
-      list.change(
+      list.setVms(
         names.map((name) => ({
           name,
           role: "backend",
@@ -232,8 +232,8 @@
     this.interfaces.set(name, engine);
     const server = await startEngine({
       stepMs: STEP_MS,
-      ownSteps: false,
-      extension: engine.answer,
+      stepsOnTimer: false,
+      extension: engine.handleCall,
     });
     this.addresses.set(name, server.address);
     this.standIns.push(server);
--- a/tests/fuzz/lives.test.ts
+++ b/tests/fuzz/incarnations.test.ts
@@ -1,12 +1,15 @@
 import * as assert from "uvu/assert";
-import { checkLives, livesTarget } from "../../fuzz/membership/lives.js";
+import {
+  checkIncarnations,
+  incarnationsTarget,
+} from "../../fuzz/membership/incarnations.js";
 import { describe, it } from "../support/describe.js";
 
 const RUNS = 1000;
 
 describe("fuzz target lives", () => {
   it("finds no violation with a fixed seed", async () => {
-    const result = await livesTarget.run({ seed: 17, runs: RUNS });
+    const result = await incarnationsTarget.run({ seed: 17, runs: RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, RUNS);
   });
@@ -32,7 +35,7 @@
         { kind: "remove", id: "a" },
         { kind: "wait", durationMs: 1100 },
       ] as const;
-      assert.equal(checkLives({ mode: "told", steps }), []);
+      assert.equal(checkIncarnations({ mode: "known-starts", steps }), []);
     });
   });
 });
--- a/tests/fuzz/orders.test.ts
+++ b/tests/fuzz/orders.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { judgeOrders, orders } from "../../fuzz/orders.js";
+import { checkOrders, orders } from "../../fuzz/orders.js";
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 500;
@@ -31,7 +31,7 @@
         { command: { kind: "restartAgent" }, wait: 5 },
       ] as const;
       const input = { seed: 2028803871, checksFencing: false, steps };
-      assert.equal(judgeOrders(input), []);
+      assert.equal(checkOrders(input), []);
     });
   });
 });
--- a/tests/membership/directory-incarnations.test.ts
+++ b/tests/membership/directory-incarnations.test.ts
@@ -36,7 +36,7 @@
   readonly directory = BackendServerDirectory.create({
     now: () => this.time.nowMs,
     after: (delayMs, action) => {
-      this.time.after(delayMs, action);
+      this.time.schedule(delayMs, action);
     },
     emit: ignoreEvents,
     onServerAvailable: (server) => {
--- a/tests/membership/register-reader.test.ts
+++ b/tests/membership/register-reader.test.ts
@@ -7,7 +7,7 @@
 import type { KeyedRecord } from "../../src/platform/keyed-topic.js";
 import { RecordFindings } from "../../src/platform/record-findings.js";
 import { describe, it } from "../support/describe.js";
-import { foreignRecords } from "../support/foreign-records.js";
+import { createMalformedRecords } from "../support/malformed-records.js";
 
 const validRecord = {
   backend: "service",
@@ -57,7 +57,7 @@
     assert.equal(fixture.findings, []);
   });
 
-  for (const { kind, key, value } of foreignRecords(validRecord)) {
+  for (const { kind, key, value } of createMalformedRecords(validRecord)) {
     it(`skips ${kind}, and no other record`, () => {
       const fixture = new ReaderFixture();
       const changes = fixture.read(
--- a/tests/orders/order-task-sockets.test.ts
+++ b/tests/orders/order-task-sockets.test.ts
@@ -5,7 +5,10 @@
 import { parseSettings } from "../../src/daemon/settings.js";
 import { LogClient } from "../../src/platform/log-client.js";
 import { startEngine } from "../../standins/engine.js";
-import { EngineGroup, quietSettings } from "../../standins/engine-group.js";
+import {
+  EngineGroup,
+  defaultEngineGroupSettings,
+} from "../../standins/engine-group.js";
 import {
   createEngineInterface,
   type EngineInterface,
@@ -31,12 +34,12 @@
 ): Promise<void> {
   await using log = await startLog();
   const client = LogClient.create(log.address);
-  const group = EngineGroup.create(quietSettings);
+  const group = EngineGroup.create(defaultEngineGroupSettings);
   const engine = createEngineInterface({ group, member: "r", checksFencing });
   await using server = await startEngine({
     stepMs: 5,
-    ownSteps: false,
-    extension: engine.answer,
+    stepsOnTimer: false,
+    extension: engine.handleCall,
   });
   const append = (record: unknown): Promise<number> =>
     client.append(orderStream(GROUP), [Buffer.from(JSON.stringify(record))]);
@@ -108,7 +111,7 @@
         await append(load("second", second, "new"));
         await append(load("first", first, "late"));
         const values = (): readonly string[] =>
-          engine.effects.map(({ order }) => order.value);
+          engine.appliedOrders.map(({ order }) => order.value);
         await waitFor(() => values().includes("new"));
         await append(load("second", second, "newest"));
         await waitFor(() => values().includes("newest"));
@@ -122,11 +125,13 @@
     it("reads the engine's state after a lost response", async () => {
       await withEngine(checksFencing, async ({ engine, append, waits }) => {
         const lease = await append(acquire("first", -1));
-        engine.faults.lostAnswers = 1;
+        engine.faults.droppedResponses = 1;
         await append(load("first", lease, "model"));
-        await waitFor(() => engine.effects.length > 0);
+        await waitFor(() => engine.appliedOrders.length > 0);
         await append(load("first", lease, "other"));
-        await waitFor(() => engine.effects.at(-1)?.order.value === "other");
+        await waitFor(
+          () => engine.appliedOrders.at(-1)?.order.value === "other",
+        );
         const why = checksFencing ? [] : ["start", "lost answer"];
         assert.equal(waits(), why);
       });
--- a/tests/path/early-ends.test.ts
+++ b/tests/path/early-ends.test.ts
@@ -9,7 +9,7 @@
 import { startSite, type Site } from "../../demo/site.js";
 import { createDeferred } from "../../src/internal.js";
 import { describe, it } from "../support/describe.js";
-import { callHttp, type SeenAnswer } from "../support/http-call.js";
+import { callHttp, type ObservedResponse } from "../support/http-call.js";
 
 /** Long enough for the head and first bytes to be received before a reset. */
 const RESET_DELAY_MS = 100;
@@ -63,15 +63,15 @@
     serviceGroup: SERVICE_GROUP,
   });
   await site.publish(siteConfiguration("dyfrwr", 1));
-  await site.settled();
+  await site.waitUntilReady();
   return site;
 }
 
 /** The profile isn't repeatable, so no second attempt hides the first. */
 function sendNonRepeatableRequest(
   site: Site,
-  onFirstPart?: () => void,
-): Promise<SeenAnswer> {
+  onFirstChunk?: () => void,
+): Promise<ObservedResponse> {
   return callHttp({
     address: site.entries[0].daemon.process.callers,
     path: "/services/records/valves/7",
@@ -79,7 +79,7 @@
       authorization: `Bearer ${credentialOf("dyfrwr", 1)}`,
       "apricotdeck-profile": "orders",
     },
-    onFirstPart,
+    onFirstChunk,
   });
 }
 
@@ -139,18 +139,16 @@
           end(socket);
         });
       };
-      const { status, headers, body, fault } = await sendNonRepeatableRequest(
-        site,
-        () => {
+      const { status, headers, body, connectionError } =
+        await sendNonRepeatableRequest(site, () => {
           firstPart.resolve(undefined);
-        },
-      );
+        });
       assert.equal([status, headers.connection], [200, "close"]);
       assert.is(headers["transfer-encoding"], undefined);
       assert.is(headers["content-length"], undefined);
-      if (end === resetAfterDelay) assert.is(fault, "ECONNRESET");
+      if (end === resetAfterDelay) assert.is(connectionError, "ECONNRESET");
       else {
-        assert.is(fault, undefined);
+        assert.is(connectionError, undefined);
         assert.is(body.length, "half of".length + LARGE_BYTES);
       }
     }
--- a/tests/path/whole-path.test.ts
+++ b/tests/path/whole-path.test.ts
@@ -41,7 +41,7 @@
   it("answers the unmodified OpenAI client, with and without streaming", async () => {
     await using site = await startSmallSite();
     await site.publish(siteConfiguration("dyfrwr", 1));
-    await site.settled();
+    await site.waitUntilReady();
     const client = clientOf(site);
 
     const models = await client.models.list();
--- a/tests/placement/load.test.ts
+++ b/tests/placement/load.test.ts
@@ -1,12 +1,12 @@
 import * as assert from "uvu/assert";
 import {
   runPlacement,
-  SCENARIOS,
+  PLACEMENT_SCENARIOS,
   type PlacementResult,
 } from "../../measure/placement.js";
 import {
   leastInFlight,
-  ours,
+  placementChooser,
   roundRobin,
   twoChoices,
   type CreateChooser,
@@ -16,8 +16,11 @@
 const SEED = 7;
 const DURATION_MS = 30_000;
 
-function run(name: string, chooser: CreateChooser = ours()): PlacementResult {
-  const scenario = SCENARIOS.find((item) => item.name === name);
+function run(
+  name: string,
+  chooser: CreateChooser = placementChooser(),
+): PlacementResult {
+  const scenario = PLACEMENT_SCENARIOS.find((item) => item.name === name);
   if (scenario === undefined) throw new TypeError(name);
   return runPlacement(scenario, chooser, SEED, DURATION_MS);
 }
--- a/tests/platform/crashing-request.test.ts
+++ b/tests/platform/crashing-request.test.ts
@@ -21,7 +21,7 @@
   for (let count = 0; count < RUNNERS; count += 1) {
     const runner = await site.addRunner(serve);
     const behave: Behaviour = async (exchange) => {
-      if (exchange.arrival.body !== CRASHING_BODY) await serve(exchange);
+      if (exchange.received.body !== CRASHING_BODY) await serve(exchange);
       else void runner.crash(DOWNTIME_MS);
     };
     runner.behaviour = behave;
@@ -143,9 +143,9 @@
 
   it("is still known after the store was restored from an older copy", async () => {
     await using cluster = await EntryCluster.create(2);
-    const copy = cluster.first.store.copy();
+    const copy = cluster.first.store.takeSnapshot();
     await cluster.callEach("/often/bad", CRASHING_BODY, 3);
-    cluster.first.store.returnFrom(copy);
+    cluster.first.store.restoreSnapshot(copy);
     await pause(3000);
     await using lateEntry = await EntrySite.addEntry(cluster.first, "entry-9");
     await lateEntry.waitUntil(
--- a/tests/platform/direct-path.test.ts
+++ b/tests/platform/direct-path.test.ts
@@ -3,10 +3,10 @@
 import {
   answerUntilClose,
   answerWith,
-  eventOf,
+  formatEvent,
   refuseAsFull,
   resetUnanswered,
-  staySilent,
+  neverRespond,
   streamEvents,
   type Behaviour,
   type Exchange,
@@ -18,18 +18,18 @@
 
 function completeStream(): string {
   return Array.from({ length: EVENT_COUNT }, (_, index) =>
-    eventOf(index + 1),
+    formatEvent(index + 1),
   ).join("");
 }
 
 /** A stream of two seconds, with an event every 50 ms. */
 async function streamForTwoSeconds({
   response,
-  signed,
+  signatureHeaders,
 }: Exchange): Promise<void> {
-  response.writeHead(200, signed);
+  response.writeHead(200, signatureHeaders);
   for (let id = 1; id <= 40; id += 1) {
-    response.write(eventOf(id));
+    response.write(formatEvent(id));
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
@@ -48,12 +48,15 @@
       { length: total - after },
       (_, index) => after + index + 1,
     );
-    return answerUntilClose(ids.map(eventOf).join(""))(exchange);
+    return answerUntilClose(ids.map(formatEvent).join(""))(exchange);
   };
 }
 
 function countArrivals(site: EntrySite): number {
-  return site.runners.reduce((sum, { arrivals }) => sum + arrivals.length, 0);
+  return site.runners.reduce(
+    (sum, { receivedRequests }) => sum + receivedRequests.length,
+    0,
+  );
 }
 
 describe("direct path of an entry", () => {
@@ -81,11 +84,11 @@
       assert.is(answer.status, 201);
       assert.is(answer.body, "done");
       assert.ok(answer.headers[headerNames.signature] !== undefined);
-      const [arrival] = site.runners[0].arrivals;
-      assert.is(arrival.method, "POST");
-      assert.is(arrival.target, "/once/a%20b?c=1&c=2");
-      assert.is(arrival.body, "text");
-      assert.is(arrival.headers["x-other"], "kept");
+      const [received] = site.runners[0].receivedRequests;
+      assert.is(received.method, "POST");
+      assert.is(received.target, "/once/a%20b?c=1&c=2");
+      assert.is(received.body, "text");
+      assert.is(received.headers["x-other"], "kept");
     });
 
     it("the account's name, but neither its key nor identity headers set by the caller", async () => {
@@ -97,7 +100,7 @@
           [headerNames.expectedRunner]: "r9",
         },
       });
-      const { headers } = site.runners[0].arrivals[0];
+      const { headers } = site.runners[0].receivedRequests[0];
       assert.is(headers[headerNames.account], "account-1");
       assert.is(headers[headerNames.credential], undefined);
       assert.is(headers[headerNames.expectedRunner], "r0");
@@ -109,7 +112,7 @@
         path: "/often/a",
         headers: { [headerNames.deadlineMs]: "900" },
       });
-      const { headers } = site.runners[0].arrivals[0];
+      const { headers } = site.runners[0].receivedRequests[0];
       const leftMs = Number(headers[headerNames.deadlineMs]);
       assert.ok(leftMs > 0 && leftMs <= 900, String(leftMs));
     });
@@ -237,7 +240,7 @@
     });
 
     it("answers when the deadline passes", async () => {
-      await using site = await EntrySite.createWithRunners(staySilent);
+      await using site = await EntrySite.createWithRunners(neverRespond);
       const { status } = await site.call({
         path: "/once/a",
         method: "POST",
@@ -249,13 +252,13 @@
     it("closes the runner's connection when the caller disconnects", async () => {
       // The caller closes its connection. The entry closes the connection to
       // the runner, so that the runner stops working on the request.
-      await using site = await EntrySite.createWithRunners(staySilent);
+      await using site = await EntrySite.createWithRunners(neverRespond);
       const leaving = new AbortController();
       const call = site.call({ path: "/often/a", signal: leaving.signal });
       await site.waitUntil(() => countArrivals(site) === 1);
       leaving.abort();
       await call.catch(() => undefined);
-      await site.waitUntil(() => site.runners[0].arrivals[0].isAbandoned);
+      await site.waitUntil(() => site.runners[0].receivedRequests[0].isAborted);
     });
   });
 
@@ -264,8 +267,11 @@
       // The runner sends a second response to the previous request, in the
       // place of the next request's response.
       await using site = await EntrySite.createWithRunners(
-        ({ response, signed }) => {
-          const other = { ...signed, [headerNames.attemptId]: "somebody-else" };
+        ({ response, signatureHeaders }) => {
+          const other = {
+            ...signatureHeaders,
+            [headerNames.attemptId]: "somebody-else",
+          };
           response.writeHead(200, other).end("theirs");
         },
       );
@@ -279,8 +285,8 @@
       // is reset on the way, and the bytes received so far could pass for the
       // whole body.
       await using site = await EntrySite.createWithRunners(
-        async ({ request, signed }) => {
-          const head = Object.entries(signed).map(
+        async ({ request, signatureHeaders }) => {
+          const head = Object.entries(signatureHeaders).map(
             ([name, value]) => `${name}: ${value}\r\n`,
           );
           const { socket } = request;
@@ -319,10 +325,10 @@
       // A stream without framing: after the last event the connection closes,
       // either because the stream is complete or because the runner died.
       await using site = await EntrySite.createWithRunners(
-        answerUntilClose(eventOf(1) + eventOf(2)),
+        answerUntilClose(formatEvent(1) + formatEvent(2)),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, eventOf(1) + eventOf(2));
+      assert.is(answer.body, formatEvent(1) + formatEvent(2));
       assert.is(answer.headers["transfer-encoding"], undefined);
       assert.is(answer.headers.connection, "close");
     });
@@ -343,8 +349,8 @@
 
     it("a success that no runner has signed", async () => {
       await using site = await EntrySite.createWithRunners(
-        ({ response, signed }) => {
-          const attempt = signed[headerNames.attemptId];
+        ({ response, signatureHeaders }) => {
+          const attempt = signatureHeaders[headerNames.attemptId];
           response
             .writeHead(200, { [headerNames.attemptId]: attempt })
             .end("?");
@@ -385,7 +391,7 @@
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
       assert.not.ok(answer.isComplete);
-      assert.is(answer.body, eventOf(1) + eventOf(2));
+      assert.is(answer.body, formatEvent(1) + formatEvent(2));
     });
 
     it("resume elsewhere when their connection falls silent", async () => {
@@ -393,14 +399,14 @@
       // reset ever arrives. Other streams of the service progress, so the group
       // isn't the cause; the caller would give up after two seconds.
       const behave: Behaviour = (exchange) => {
-        const { request, response, signed } = exchange;
+        const { request, response, signatureHeaders } = exchange;
         if (request.url === "/stream/beside")
           return streamForTwoSeconds(exchange);
         const isResumed = request.headers[headerNames.lastEventId];
         if (isResumed !== undefined) return streamEvents(EVENT_COUNT)(exchange);
-        response.writeHead(200, signed);
-        response.write(eventOf(1));
-        response.write(eventOf(2));
+        response.writeHead(200, signatureHeaders);
+        response.write(formatEvent(1));
+        response.write(formatEvent(2));
         return undefined;
       };
       await using site = await EntrySite.createWithRunners(behave, behave);
@@ -432,7 +438,9 @@
         headers: { [headerNames.deadlineMs]: "5000" },
       });
       await site.waitUntil(() => countArrivals(site) === 1);
-      const slow = site.runners.find(({ arrivals }) => arrivals.length === 1);
+      const slow = site.runners.find(
+        ({ receivedRequests }) => receivedRequests.length === 1,
+      );
       site.store.put(topics.pace, slow?.address ?? "", { slowness: 5 });
       const answer = await call;
       assert.ok(answer.isComplete);
@@ -443,10 +451,10 @@
         expected,
       );
       assert.equal(
-        site.runners.map(({ arrivals }) => arrivals.length),
+        site.runners.map(({ receivedRequests }) => receivedRequests.length),
         [1, 1],
       );
-      assert.ok(slow?.arrivals[0].isAbandoned);
+      assert.ok(slow?.receivedRequests[0].isAborted);
     });
 
     it("start after the last event that the caller has received", async () => {
@@ -458,19 +466,19 @@
         method: "POST",
         headers: { [headerNames.lastEventId]: "4" },
       });
-      assert.is(answer.body, eventOf(5) + eventOf(6));
+      assert.is(answer.body, formatEvent(5) + formatEvent(6));
     });
 
     it("stop at an event out of sequence", async () => {
       await using site = await EntrySite.createWithRunners(
-        ({ response, signed }) => {
-          response.writeHead(200, signed);
-          response.write(eventOf(1));
-          response.end(eventOf(3));
+        ({ response, signatureHeaders }) => {
+          response.writeHead(200, signatureHeaders);
+          response.write(formatEvent(1));
+          response.end(formatEvent(3));
         },
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, eventOf(1));
+      assert.is(answer.body, formatEvent(1));
       assert.not.ok(answer.isComplete);
     });
   });
@@ -497,11 +505,11 @@
       const [leaving] = site.runners;
       site.register(leaving, "draining");
       await site.waitUntil(() => site.entry.runnerCount === 1);
-      const before = leaving.arrivals.length;
+      const before = leaving.receivedRequests.length;
       for (let round = 0; round < 6; round += 1) {
         assert.is((await site.call({ path: "/often/a" })).body, "b");
       }
-      assert.is(leaving.arrivals.length, before);
+      assert.is(leaving.receivedRequests.length, before);
     });
 
     it("assigns an address to the runner that registered there last", async () => {
@@ -514,7 +522,7 @@
       const { address } = runner;
       site.register({ id: "z-before", address }, "ready");
       site.register({ id: runner.id, address }, "ready");
-      site.store.forgetHistory(topics.register);
+      site.store.trimHistory(topics.register);
       const pages = (): number => site.store.calls.get(paths.newest) ?? 0;
       const before = pages();
       await site.waitUntil(() => pages() > before);
@@ -537,12 +545,12 @@
         assert.is((await site.call({ path: "/once/a" })).status, 200);
       }
       assert.ok(runner.misdirected <= 1);
-      assert.is(other.arrivals.length, 6);
+      assert.is(other.receivedRequests.length, 6);
     });
 
     it("keeps serving with its last known state while the store is unavailable", async () => {
       await using site = await EntrySite.createWithRunners(answerWith("ok"));
-      site.store.mood = "refusing";
+      site.store.availability = "refusing";
       await site.waitUntil(() => (site.store.calls.get(paths.read) ?? 0) > 6);
       assert.is((await site.call({ path: "/often/a" })).status, 200);
       assert.is(await site.readiness(), 200);
@@ -554,11 +562,11 @@
       // A request is being executed when the process is told to stop. Aborting
       // it would lose work that is nearly done.
       await using site = await EntrySite.createWithRunners(
-        async ({ response, signed }) => {
+        async ({ response, signatureHeaders }) => {
           await new Promise((resolve) => {
             setTimeout(resolve, 300);
           });
-          response.writeHead(200, signed).end("late but complete");
+          response.writeHead(200, signatureHeaders).end("late but complete");
         },
       );
       const call = site.call({ path: "/once/a", method: "POST" });
--- a/tests/platform/entry-site.ts
+++ b/tests/platform/entry-site.ts
@@ -241,7 +241,7 @@
    * outage of the register.
    */
   async makeStoreUnavailable(): Promise<void> {
-    this.store.mood = "refusing";
+    this.store.availability = "refusing";
     await this.assertEventually("the outage is seen", async () => {
       const lines = await this.metricLines("apricotdeck_store_outages_total");
       return lines.some((line) => /topic="register".* [1-9]/.test(line));
--- a/tests/platform/response-completeness.test.ts
+++ b/tests/platform/response-completeness.test.ts
@@ -4,7 +4,7 @@
 import { headerNames } from "../../platform/names.js";
 import {
   answerRaw,
-  eventOf,
+  formatEvent,
   type Behaviour,
 } from "../../standins/signing-runner.js";
 import { describe, it } from "../support/describe.js";
@@ -24,11 +24,11 @@
 const EVENTS_STREAM = "content-type: text/event-stream\r\n";
 
 /** Sends an event every 10 ms until the connection is closed. */
-const streamEndlessly: Behaviour = async ({ request, signed }) => {
+const streamEndlessly: Behaviour = async ({ request, signatureHeaders }) => {
   const { socket } = request;
-  answerRaw(EVENTS_STREAM, eventOf(1))({ request, signed });
+  answerRaw(EVENTS_STREAM, formatEvent(1))({ request, signatureHeaders });
   for (let id = 2; !socket.destroyed; id += 1) {
-    socket.write(eventOf(id));
+    socket.write(formatEvent(id));
     await pause(10);
   }
 };
@@ -82,8 +82,8 @@
 
 /** Resets the connection before the client can have read the response. */
 function resetImmediately(head: string, body: string): Behaviour {
-  return ({ request, signed }) => {
-    answerRaw(head, body)({ request, signed });
+  return ({ request, signatureHeaders }) => {
+    answerRaw(head, body)({ request, signatureHeaders });
     process.nextTick(() => {
       request.socket.resetAndDestroy();
     });
@@ -96,10 +96,10 @@
  */
 function refusePreviousRequestLate(): Behaviour {
   let first: Readonly<Record<string, string>> | undefined;
-  return async ({ request: { socket }, response, signed }) => {
+  return async ({ request: { socket }, response, signatureHeaders }) => {
     if (first === undefined) {
-      first = signed;
-      response.writeHead(200, signed).end("first");
+      first = signatureHeaders;
+      response.writeHead(200, signatureHeaders).end("first");
       return;
     }
     const fields = { ...first, [headerNames.notRun]: "1", "content-length": 0 };
@@ -108,7 +108,7 @@
     );
     socket.write(`HTTP/1.1 503 Full\r\n${lines.join("")}\r\n`);
     await pause(20);
-    response.writeHead(200, signed).end("second");
+    response.writeHead(200, signatureHeaders).end("second");
   };
 }
 
@@ -166,10 +166,10 @@
       // In a stream, the entry would end its own chunked encoding after the
       // last received event, as if the stream were complete.
       await using site = await EntrySite.createWithRunners(
-        answerRaw(OTHER_CODING + EVENTS_STREAM, eventOf(1), "end"),
+        answerRaw(OTHER_CODING + EVENTS_STREAM, formatEvent(1), "end"),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, eventOf(1));
+      assert.is(answer.body, formatEvent(1));
       assert.is(answer.headers["transfer-encoding"], undefined);
       assert.is(answer.headers.connection, "close");
     });
@@ -182,10 +182,10 @@
       // caller's connection in order would present the truncated stream as a
       // complete one.
       await using site = await EntrySite.createWithRunners(
-        answerRaw(EVENTS_STREAM, eventOf(1), "reset"),
+        answerRaw(EVENTS_STREAM, formatEvent(1), "reset"),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, eventOf(1));
+      assert.is(answer.body, formatEvent(1));
       assert.not.ok(answer.isComplete);
     });
 
@@ -194,10 +194,10 @@
       // data and a reset in the same poll, it reports the data and a regular
       // end, so that the caller wouldn't see the reset.
       await using site = await EntrySite.createWithRunners(
-        answerRaw(EVENTS_STREAM, `${eventOf(1)}id: 2\ndata: ha`, "end"),
+        answerRaw(EVENTS_STREAM, `${formatEvent(1)}id: 2\ndata: ha`, "end"),
       );
       const answer = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(answer.body, eventOf(1));
+      assert.is(answer.body, formatEvent(1));
       assert.not.ok(answer.isComplete);
     });
 
@@ -211,9 +211,12 @@
       );
       const answer = await site.call({ path: "/once/a", method: "POST" });
       assert.is(answer.status, 504);
-      site.runners[0].behaviour = resetImmediately(EVENTS_STREAM, eventOf(1));
+      site.runners[0].behaviour = resetImmediately(
+        EVENTS_STREAM,
+        formatEvent(1),
+      );
       const stream = await site.call({ path: "/stream/a", method: "POST" });
-      assert.is(stream.body, eventOf(1));
+      assert.is(stream.body, formatEvent(1));
       assert.not.ok(stream.isComplete);
     });
 
@@ -255,7 +258,7 @@
         method: "POST",
         headers: { "apricotdeck-deadline-ms": "5000" },
       });
-      await site.waitUntil(() => site.runners[0].arrivals.length === 1);
+      await site.waitUntil(() => site.runners[0].receivedRequests.length === 1);
       await pause(50);
       await site[Symbol.asyncDispose]();
       const answer = await call;
@@ -274,7 +277,7 @@
     );
     await site.call({ path: "/once/a", method: "POST" });
     const answer = await site.call({ path: "/once/b", method: "POST" });
-    assert.is(site.runners[0].arrivals.length, 2);
+    assert.is(site.runners[0].receivedRequests.length, 2);
     assert.not.ok([408, 421, 429, 503].includes(answer.status));
   });
 });
--- a/tests/platform/runner-left-during-outage.test.ts
+++ b/tests/platform/runner-left-during-outage.test.ts
@@ -25,9 +25,9 @@
       answerWith("here"),
     );
     await site.makeStoreUnavailable();
-    site.store.drop(topics.register, "r0");
-    site.store.forgetHistory(topics.register);
-    site.store.mood = "well";
+    site.store.appendTombstone(topics.register, "r0");
+    site.store.trimHistory(topics.register);
+    site.store.availability = "well";
     await new Promise((resolve) => {
       setTimeout(resolve, DETECTION_LIMIT_MS);
     });
--- a/tests/platform/runner-restart.test.ts
+++ b/tests/platform/runner-restart.test.ts
@@ -2,9 +2,9 @@
 import { headerNames, topics } from "../../platform/names.js";
 import {
   answerWith,
-  eventOf,
+  formatEvent,
   refuseAsFull,
-  staySilent,
+  neverRespond,
   streamEvents,
   type Behaviour,
   type SigningRunner,
@@ -56,14 +56,16 @@
 }
 
 /** Sends two events, then nothing more. */
-const stallAfterTwoEvents: Behaviour = ({ response, signed }) => {
-  response.writeHead(200, signed);
-  response.write(eventOf(1));
-  response.write(eventOf(2));
+const stallAfterTwoEvents: Behaviour = ({ response, signatureHeaders }) => {
+  response.writeHead(200, signatureHeaders);
+  response.write(formatEvent(1));
+  response.write(formatEvent(2));
 };
 
-async function waitForArrival({ arrivals }: SigningRunner): Promise<void> {
-  while (arrivals.length === 0) await pause(5);
+async function waitForArrival({
+  receivedRequests,
+}: SigningRunner): Promise<void> {
+  while (receivedRequests.length === 0) await pause(5);
 }
 
 describe("direct path, when a runner restarts under the same id", () => {
@@ -105,7 +107,7 @@
     it("retries an idempotent request immediately", async () => {
       // The VM loses power: its connections fall silent without a reset.
       // Without the new registration the request would wait for its deadline.
-      await using site = await createSite(staySilent);
+      await using site = await createSite(neverRespond);
       const [earlier] = site.runners;
       const call = callTimed(site, "/often/a");
       await waitForArrival(earlier);
@@ -120,7 +122,7 @@
     });
 
     it("reports the outcome of a non-idempotent request as unknown immediately", async () => {
-      await using site = await createSite(staySilent);
+      await using site = await createSite(neverRespond);
       const [earlier] = site.runners;
       const call = callTimed(site, "/once/a");
       await waitForArrival(earlier);
@@ -132,7 +134,7 @@
       const { answer, durationMs } = await call;
       assert.is(answer.status, 504);
       assert.ok(durationMs < PROMPT_ANSWER_MS, String(durationMs));
-      assert.is(next.arrivals.length, 0);
+      assert.is(next.receivedRequests.length, 0);
     });
 
     it("resumes a stream with every event delivered once", async () => {
@@ -150,7 +152,7 @@
       );
       const { answer, durationMs } = await call;
       const events = Array.from({ length: EVENT_COUNT }, (_, index) =>
-        eventOf(index + 1),
+        formatEvent(index + 1),
       );
       assert.is(answer.body, events.join(""));
       assert.ok(answer.isComplete);
@@ -161,8 +163,8 @@
       // The response has no length and ends with its connection. The runner's
       // VM is lost inside the body, and the entry itself closes the connection
       // once the new incarnation is known: the runner never ended the response.
-      await using site = await createSite(({ request, signed }) => {
-        const head = Object.entries(signed).map(
+      await using site = await createSite(({ request, signatureHeaders }) => {
+        const head = Object.entries(signatureHeaders).map(
           ([name, value]) => `${name}: ${value}\r\n`,
         );
         const text = `HTTP/1.1 200 OK\r\n${head.join("")}\r\nhalf of`;
@@ -184,11 +186,11 @@
     });
 
     it("answers immediately when the old registration was removed before", async () => {
-      await using site = await createSite(staySilent);
+      await using site = await createSite(neverRespond);
       const [earlier] = site.runners;
       const call = callTimed(site, "/once/a");
       await waitForArrival(earlier);
-      site.store.drop(topics.register, earlier.id);
+      site.store.appendTombstone(topics.register, earlier.id);
       await site.waitUntil(() => site.entry.runnerCount === 0);
       await site.restartAtNewAddress(
         earlier,
@@ -205,7 +207,7 @@
     it("aborts requests to the old incarnation, not those to the new one", async () => {
       // One request is pending on a connection to the old incarnation. Another
       // one reaches the new incarnation before its registration is read.
-      await using site = await createSite(staySilent);
+      await using site = await createSite(neverRespond);
       const [runner] = site.runners;
       const before = callTimed(site, "/once/before");
       await waitForArrival(runner);
@@ -217,7 +219,7 @@
         await answerWith("after")(exchange);
       };
       const after = callTimed(site, "/once/after");
-      await site.waitUntil(() => runner.arrivals.length === 2);
+      await site.waitUntil(() => runner.receivedRequests.length === 2);
       site.register(runner, "ready", newIncarnation);
       const failedAnswer = await before;
       assert.is(failedAnswer.answer.status, 504);
@@ -232,7 +234,7 @@
     });
 
     it("retries an idempotent request at the new incarnation of the only runner", async () => {
-      await using site = await createSite(staySilent);
+      await using site = await createSite(neverRespond);
       const [runner] = site.runners;
       const call = callTimed(site, "/often/a");
       await waitForArrival(runner);
--- a/tests/platform/store-client.test.ts
+++ b/tests/platform/store-client.test.ts
@@ -68,7 +68,7 @@
       const topic = client.keyedTopic(topics.operator);
       const { signal } = new AbortController();
       store.era = 4;
-      store.mood = "refusing";
+      store.availability = "refusing";
       assert.is(
         await outcomeWithin(topic.newest(signal), OUTCOME_LIMIT_MS),
         "failed",
--- a/tests/platform/store-rollback.test.ts
+++ b/tests/platform/store-rollback.test.ts
@@ -21,13 +21,13 @@
       answerWith("leaves"),
     );
     const [staying, leaving] = site.runners;
-    const copy = site.store.copy();
+    const copy = site.store.takeSnapshot();
     site.register(leaving, "draining");
     await site.assertEventually(
       "the runner is removed",
       () => site.entry.runnerCount === 1,
     );
-    site.store.returnFrom(copy);
+    site.store.restoreSnapshot(copy);
     site.register(staying, "ready");
     await site.assertEventually(
       "the new era is known",
@@ -38,7 +38,7 @@
     for (let call = 0; call < 10; call += 1) {
       assert.is((await site.call({ path: "/often/a" })).status, 200);
     }
-    assert.is(leaving.arrivals.length, 0);
+    assert.is(leaving.receivedRequests.length, 0);
   });
 
   it("keeps a runner that isn't in the copy, also after it registers again", async () => {
@@ -46,13 +46,13 @@
     // gone, the service would be unavailable until they have registered again.
     await using site = await EntrySite.create();
     site.configure({});
-    const copy = site.store.copy();
+    const copy = site.store.takeSnapshot();
     const runner = await site.addRunner(answerWith("here"));
     await site.assertEventually(
       "the runner is known",
       () => site.entry.runnerCount === 1,
     );
-    site.store.returnFrom(copy);
+    site.store.restoreSnapshot(copy);
     await site.assertEventually(
       "the new era is known",
       async () => (await site.gauge(ERA_METRIC)) === 2,
@@ -68,7 +68,7 @@
     // removed routes and revoke added keys; here callers would need a valid API
     // key again.
     await using site = await EntrySite.createWithRunners(answerWith("here"));
-    const copy = site.store.copy();
+    const copy = site.store.takeSnapshot();
     const { store } = site;
     site.configure({ version: 7, tenants: [] });
     const acceptsUnknownKey = async (): Promise<boolean> => {
@@ -80,7 +80,7 @@
       "the configuration is in force",
       acceptsUnknownKey,
     );
-    store.returnFrom(copy);
+    store.restoreSnapshot(copy);
     await site.assertEventually(
       "the new era is known",
       async () => (await site.gauge(ERA_METRIC)) === 2,
--- a/tests/platform/timeouts.test.ts
+++ b/tests/platform/timeouts.test.ts
@@ -48,7 +48,7 @@
     const { signal } = new AbortController();
     const call = (): Promise<unknown> => topic.changes(0, 0, signal);
     for (let count = 0; count < EARLIER_CALL_COUNT; count += 1) await call();
-    store.mood = "silent";
+    store.availability = "silent";
     assert.equal(await outcomesOf(call), ALL_FAILED);
   });
 
--- a/tests/platform/topic-follower.test.ts
+++ b/tests/platform/topic-follower.test.ts
@@ -115,7 +115,7 @@
     await observer.waitUntil(() => observer.received.get("a") === "1");
     observer.store.put(TOPIC, "a", 2);
     await observer.waitUntil(() => observer.received.get("a") === "2");
-    observer.store.drop(TOPIC, "a");
+    observer.store.appendTombstone(TOPIC, "a");
     await observer.waitUntil(() => observer.received.get("a") === undefined);
   });
 
@@ -125,12 +125,12 @@
     // it missed.
     await using observer = await TopicObserver.create();
     await observer.waitUntil(() => observer.snapshotCount === 1);
-    observer.store.mood = "refusing";
+    observer.store.availability = "refusing";
     await observer.waitUntil(() => observer.outageCount === 1);
     observer.store.put(TOPIC, "a", 1);
     observer.store.put(TOPIC, "b", 2);
-    observer.store.forgetHistory(TOPIC);
-    observer.store.mood = "well";
+    observer.store.trimHistory(TOPIC);
+    observer.store.availability = "well";
     await observer.waitUntil(() => observer.received.get("b") === "2");
     assert.is(observer.snapshotCount, 2);
     assert.is(observer.recoveryCount, 1);
@@ -139,9 +139,9 @@
   it("detects a silent connection", async () => {
     await using observer = await TopicObserver.create();
     await observer.waitUntil(() => observer.snapshotCount === 1);
-    observer.store.mood = "silent";
+    observer.store.availability = "silent";
     await observer.waitUntil(() => observer.outageCount === 1);
-    observer.store.mood = "well";
+    observer.store.availability = "well";
     observer.store.put(TOPIC, "a", 1);
     await observer.waitUntil(() => observer.received.get("a") === "1");
   });
@@ -154,15 +154,15 @@
     });
     await observer.waitUntil(() => observer.received.get("b") === "1");
     const { store } = observer;
-    const copy = store.copy();
+    const copy = store.takeSnapshot();
     for (const key of ["c", "d", "e"]) store.put(TOPIC, key, 1);
     await observer.waitUntil(() => observer.received.get("e") === "1");
-    store.mood = "refusing";
+    store.availability = "refusing";
     await observer.waitUntil(() => observer.outageCount === 1);
-    store.returnFrom(copy);
-    store.drop(TOPIC, "a");
+    store.restoreSnapshot(copy);
+    store.appendTombstone(TOPIC, "a");
     for (const key of ["f", "g", "h"]) store.put(TOPIC, key, 2);
-    store.mood = "well";
+    store.availability = "well";
     await observer.waitUntil(() => observer.received.get("h") === "2");
     assert.is(observer.newest.has("a"), false);
     assert.is(observer.newest.get("f"), "2");
@@ -174,10 +174,10 @@
       store.put(TOPIC, "a", 1);
     });
     await observer.waitUntil(() => observer.snapshotCount === 1);
-    const copy = observer.store.copy();
+    const copy = observer.store.takeSnapshot();
     observer.store.put(TOPIC, "a", 2);
     await observer.waitUntil(() => observer.received.get("a") === "2");
-    observer.store.returnFrom(copy);
+    observer.store.restoreSnapshot(copy);
     observer.store.put(TOPIC, "b", 3);
     await observer.waitUntil(() => observer.received.get("b") === "3");
     assert.equal([observer.snapshotCount, observer.rollbackCount], [2, 1]);
@@ -191,13 +191,13 @@
     // still away.
     await using observer = await TopicObserver.create();
     await observer.waitUntil(() => observer.snapshotCount === 1);
-    observer.store.mood = "silent";
+    observer.store.availability = "silent";
     await observer.waitUntil(() => observer.outageCount === 1);
     const { calls } = observer.store;
     const before = calls.get(paths.read);
     await observer.waitUntil(() => calls.get(paths.read) !== before);
     const backAtMs = performance.now();
-    observer.store.mood = "well";
+    observer.store.availability = "well";
     await observer.waitUntil(() => observer.recoveryCount === 1);
     assert.ok(observer.lastFailedAtMs < backAtMs);
   });
--- a/tests/platform/unusable-records.test.ts
+++ b/tests/platform/unusable-records.test.ts
@@ -3,9 +3,9 @@
 import { answerWith, SigningRunner } from "../../standins/signing-runner.js";
 import { describe, it } from "../support/describe.js";
 import {
-  foreignRecords,
+  createMalformedRecords,
   type Registration,
-} from "../support/foreign-records.js";
+} from "../support/malformed-records.js";
 import { EntrySite } from "./entry-site.js";
 
 /** Starts a working runner at an address that only unusable records name. */
@@ -20,11 +20,11 @@
   site: EntrySite,
   validRegistration: Registration,
 ): void {
-  for (const { key, value } of foreignRecords(validRegistration)) {
+  for (const { key, value } of createMalformedRecords(validRegistration)) {
     site.store.putBytes(topics.register, key, value);
   }
-  site.store.putUnframed(topics.register, Buffer.alloc(0));
-  site.store.putUnframed(topics.register, Buffer.from([9, 0x72]));
+  site.store.putRawRecord(topics.register, Buffer.alloc(0));
+  site.store.putRawRecord(topics.register, Buffer.from([9, 0x72]));
 }
 
 async function assertServedBy(
@@ -35,7 +35,9 @@
     const { status } = await site.call({ path: "/often/a" });
     assert.is(status, 200);
   }
-  const served = site.runners.filter(({ arrivals }) => arrivals.length > 0);
+  const served = site.runners.filter(
+    ({ receivedRequests }) => receivedRequests.length > 0,
+  );
   const names = served.map(({ id }) => id);
   assert.ok(
     names.every((name) => ids.includes(name)),
@@ -60,7 +62,7 @@
         cold_left_ms: 0,
         sequence: 1,
       };
-      for (const { key, value } of foreignRecords(validRegistration)) {
+      for (const { key, value } of createMalformedRecords(validRegistration)) {
         store.putBytes(topics.register, key, value);
       }
     });
@@ -75,7 +77,7 @@
       () => site.entry.runnerCount === 1,
     );
     await assertServedBy(site, ["r0"]);
-    assert.is(decoy.arrivals.length + decoy.misdirected, 0);
+    assert.is(decoy.receivedRequests.length + decoy.misdirected, 0);
     assert.is(await site.outages(), 0);
   });
 
@@ -91,20 +93,20 @@
       answerWith("ok"),
     );
     putUnusableRecords(site, site.nextRegistration(decoy.address));
-    site.store.drop(topics.register, "r0");
+    site.store.appendTombstone(topics.register, "r0");
     putUnusableRecords(site, site.nextRegistration(decoy.address));
     await site.addRunner(answerWith("ok"));
     putUnusableRecords(site, site.nextRegistration(decoy.address));
     const newRunner = site.runners[2];
     await site.assertEventually("the new runner serves", async () => {
       assert.is((await site.call({ path: "/often/a" })).status, 200);
-      return newRunner.arrivals.length > 0;
+      return newRunner.receivedRequests.length > 0;
     });
     assert.is(site.entry.runnerCount, 2);
-    const before = site.runners[0].arrivals.length;
+    const before = site.runners[0].receivedRequests.length;
     await assertServedBy(site, ["r0", "r1", "r2"]);
-    assert.is(site.runners[0].arrivals.length, before);
-    assert.is(decoy.arrivals.length + decoy.misdirected, 0);
+    assert.is(site.runners[0].receivedRequests.length, before);
+    assert.is(decoy.receivedRequests.length + decoy.misdirected, 0);
     assert.is(await site.outages(), 0);
   });
 
@@ -124,9 +126,9 @@
       "one runner",
       () => site.entry.runnerCount === 1,
     );
-    const before = first.arrivals.length;
+    const before = first.receivedRequests.length;
     await assertServedBy(site, ["r0", "r1"]);
-    assert.is(first.arrivals.length, before);
+    assert.is(first.receivedRequests.length, before);
     site.register(first, "ready");
     await site.assertEventually(
       "two runners",
@@ -145,7 +147,7 @@
     );
     await site.makeStoreUnavailable();
     site.store.putBytes(topics.register, "r0", Buffer.from("?"));
-    site.store.mood = "well";
+    site.store.availability = "well";
     const hasOneRunner = (): boolean => site.entry.runnerCount === 1;
     await site.assertEventually("one runner", hasOneRunner);
   });
@@ -160,9 +162,9 @@
     );
     await site.makeStoreUnavailable();
     site.store.putBytes(topics.register, "r0", Buffer.from("?"));
-    site.store.drop(topics.register, "r1");
-    site.store.forgetHistory(topics.register);
-    site.store.mood = "well";
+    site.store.appendTombstone(topics.register, "r1");
+    site.store.trimHistory(topics.register);
+    site.store.availability = "well";
     const hasOneRunner = (): boolean => site.entry.runnerCount === 1;
     await site.assertEventually("one runner", hasOneRunner);
     await assertServedBy(site, ["r1"]);
@@ -182,7 +184,7 @@
         () => site.entry.runnerCount === 2,
       );
       await assertServedBy(site, ["r0"]);
-      assert.is(decoy.arrivals.length + decoy.misdirected, 0);
+      assert.is(decoy.receivedRequests.length + decoy.misdirected, 0);
     });
 
     it("are used once a configuration names the service", async () => {
@@ -249,11 +251,11 @@
     site.store.put(topics.pace, second.address, { slowness: 6 });
     site.store.put(topics.pace, first.address, { slowness: "6" });
     const countSecondRunnerCalls = async (): Promise<number> => {
-      const before = second.arrivals.length;
+      const before = second.receivedRequests.length;
       for (let round = 0; round < 8; round += 1) {
         await site.call({ path: "/often/a" });
       }
-      return second.arrivals.length - before;
+      return second.receivedRequests.length - before;
     };
     await site.assertEventually(
       "the slow runner gets no requests",
--- a/tests/rankmaps/group-search.test.ts
+++ b/tests/rankmaps/group-search.test.ts
@@ -7,7 +7,7 @@
 import type { KeyedTopic } from "../../src/platform/keyed-topic.js";
 import { describe, it } from "../support/describe.js";
 import { RANK_STATE } from "./rank-state.js";
-import { foreignRecords } from "../support/foreign-records.js";
+import { createMalformedRecords } from "../support/malformed-records.js";
 import { pause, waitFor } from "../support/wait.js";
 
 const OWN = "127.0.0.1:9001";
@@ -136,7 +136,7 @@
     const asked = new Set<string>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER],
-      foreign: foreignRecords(registrationAt(FOREIGN)),
+      foreign: createMalformedRecords(registrationAt(FOREIGN)),
       isHolder: true,
       onAsked: (address) => asked.add(address),
     });
--- a/tests/session/sockets.test.ts
+++ b/tests/session/sockets.test.ts
@@ -25,7 +25,7 @@
     serviceGroup: SERVICE_GROUP,
   });
   await site.publish(siteConfiguration("dyfrwr", runners));
-  await site.settled();
+  await site.waitUntilReady();
   return site;
 }
 
@@ -168,7 +168,7 @@
     for (const { completeText } of [...first, ...second]) {
       assert.equal(parseIndexes(await completeText), indexRange(tokens));
     }
-    assert.is(await leaving.daemon.process.ended, 0);
+    assert.is(await leaving.daemon.process.exited, 0);
     assert.is(leaving.engine.runs.started.length, startsBefore);
 
     const third = indexRange(20).map((index) =>
@@ -183,7 +183,7 @@
     for (const { completeText } of third) {
       assert.equal(parseIndexes(await completeText), indexRange(tokens));
     }
-    assert.is(await entry.ended, 0);
+    assert.is(await entry.exited, 0);
     assert.is(countStarts(site), 60);
   });
 });
--- a/tests/support/http-call.ts
+++ b/tests/support/http-call.ts
@@ -4,7 +4,7 @@
  */
 import { request as sendRequest } from "node:http";
 
-export interface SeenAnswer {
+export interface ObservedResponse {
   readonly status: number;
   readonly headers: Readonly<NodeJS.Dict<string | string[]>>;
   readonly body: string;
@@ -12,7 +12,7 @@
    * Error that ended the connection during the response; undefined when it
    * ended without one.
    */
-  readonly fault: string | undefined;
+  readonly connectionError: string | undefined;
 }
 
 export interface HttpCall {
@@ -22,11 +22,11 @@
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   /** Called when the first bytes of the body arrive. */
-  readonly onFirstPart?: (() => void) | undefined;
+  readonly onFirstChunk?: (() => void) | undefined;
 }
 
-export function callHttp(call: HttpCall): Promise<SeenAnswer> {
-  const { address, path, method = "GET", headers = {}, onFirstPart } = call;
+export function callHttp(call: HttpCall): Promise<ObservedResponse> {
+  const { address, path, method = "GET", headers = {}, onFirstChunk } = call;
   const [host, port] = address.split(":");
   return new Promise((resolve, reject) => {
     const request = sendRequest({
@@ -40,23 +40,24 @@
     request.on("error", reject);
     request.once("response", (response) => {
       const chunks: Buffer[] = [];
-      let fault: string | undefined;
+      let connectionError: string | undefined;
       // For a response without length or chunks, Node.js reports a reset only
       // on the request; the response seems to be complete.
       request.off("error", reject).on("error", (error) => {
-        fault = (error as NodeJS.ErrnoException).code ?? error.message;
+        connectionError =
+          (error as NodeJS.ErrnoException).code ?? error.message;
       });
       response.on("data", (chunk: Buffer) => {
-        if (chunks.length === 0) onFirstPart?.();
+        if (chunks.length === 0) onFirstChunk?.();
         chunks.push(chunk);
       });
       response.on("error", (error: NodeJS.ErrnoException) => {
-        fault = error.code ?? error.message;
+        connectionError = error.code ?? error.message;
       });
       response.once("close", () => {
         const { statusCode: status = 0, headers: responseHeaders } = response;
         const body = Buffer.concat(chunks).toString();
-        resolve({ status, headers: responseHeaders, body, fault });
+        resolve({ status, headers: responseHeaders, body, connectionError });
       });
     });
     request.end();
--- a/tests/support/foreign-records.ts
+++ b/tests/support/malformed-records.ts
@@ -6,7 +6,7 @@
 /** Fields of a valid registration. */
 export type Registration = Readonly<Record<string, unknown>>;
 
-export interface ForeignRecord {
+export interface MalformedRecord {
   readonly kind: string;
   readonly key: string;
   readonly value: Buffer;
@@ -54,7 +54,9 @@
  * Returns one unusable record per defect, each under its own key; `valid` is
  * the registration from which they are derived.
  */
-export function foreignRecords(valid: Registration): readonly ForeignRecord[] {
+export function createMalformedRecords(
+  valid: Registration,
+): readonly MalformedRecord[] {
   const validValue = toJson(valid);
   const values: readonly (readonly [kind: string, value: Buffer])[] = [
     ["bytes that are not UTF-8", Buffer.from([0xff, 0x00, 0x80, 0xfe])],
--- a/tests/suspects/crash-simulation.ts
+++ b/tests/suspects/crash-simulation.ts
@@ -149,7 +149,7 @@
     const thirdMs = this.crashTimes.at(2) ?? Number.POSITIVE_INFINITY;
     if (this.time.nowMs > thirdMs + SETTLING_MS) this.lateRuns += 1;
     this.crashTimes.push(this.time.nowMs);
-    this.time.after(1, () => {
+    this.time.schedule(1, () => {
       this.crash(run.rank);
     });
   }
@@ -217,7 +217,7 @@
         measurements: ignoreMeasurements,
       }),
       after: (delayMs, action) => {
-        this.time.after(delayMs, () => {
+        this.time.schedule(delayMs, () => {
           if (!entry.isStopped) action();
         });
       },
@@ -258,7 +258,7 @@
       return Promise.reject(failure(1901));
     }
     this.records.set(record.key, record);
-    this.time.after(STORE_DELAY_MS, () => {
+    this.time.schedule(STORE_DELAY_MS, () => {
       for (const { sync: notes } of this.entries) notes.apply([record]);
     });
     return Promise.resolve();
--- a/tests/suspects/suspect-sync.test.ts
+++ b/tests/suspects/suspect-sync.test.ts
@@ -30,7 +30,7 @@
       measurements: ignoreMeasurements,
     }),
     after: (delayMs, action) => {
-      this.time.after(delayMs, action);
+      this.time.schedule(delayMs, action);
     },
     emit: ignoreEvents,
   });
