--- a/fuzz/membership/incarnations.ts
+++ b/fuzz/membership/incarnations.ts
@@ -25,8 +25,9 @@
 const MAX_WAIT_MS = 1200;
 
 /**
- * `known-starts`: start times are known and each id has its own addresses; `shared-addresses`:
- * all ids use the same addresses; `unknown-starts`: start times are unknown.
+ * `known-starts`: start times are known and each id has its own addresses;
+ * `shared-addresses`: all ids use the same addresses; `unknown-starts`: start
+ * times are unknown.
  */
 type Mode = "known-starts" | "shared-addresses" | "unknown-starts";
 
--- a/fuzz/records/answers.ts
+++ b/fuzz/records/answers.ts
@@ -23,7 +23,7 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-const SEAT_ROW = ["seats", 0, 0];
+const LEASE_ROW = ["seats", 0, 0];
 
 const numericValue = fc.oneof(
   fc.nat({ max: 5 }),
@@ -31,7 +31,7 @@
 );
 const rows = fc.array(
   fc.oneof(
-    fc.constant(SEAT_ROW),
+    fc.constant(LEASE_ROW),
     fc.tuple(fc.constantFrom("seats", "x"), numericValue, numericValue),
     fc.jsonValue({ maxDepth: 1 }),
   ),
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -40,8 +40,8 @@
     });
     const text = await response.body.text();
     const { statusCode, headers } = response;
-    // A truncated answer that isn't JSON can't be told from a complete one, and
-    // the output would silently lack a part of this process's data.
+    // A truncated answer that isn't JSON can't be distinguished from a complete
+    // one, and the output would silently lack a part of this process's data.
     if (!isEndMarked(statusCode, headers, method)) return undefined;
     return parseJsonOrText(text);
   } catch {
--- a/src/configuration/formats.ts
+++ b/src/configuration/formats.ts
@@ -1,6 +1,6 @@
 /**
  * Content formats that this release understands. The rules of a released format
- * never change; other rules need a new format. Two releases that judged the
+ * never change; other rules need a new format. Two releases that applied the
  * same record differently would have different configurations in force from
  * then on.
  */
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -113,7 +113,7 @@
   /** There was no connection: the request never left this process. */
   | { readonly kind: "unsent"; readonly reason: string }
   /**
-   * The request was sent, but no complete response to it came back. `isLost`:
+   * The request was sent, but no complete response to it arrived. `isLost`:
    * the connection was lost, as when the runner crashes.
    */
   | {
--- a/src/membership/inactive-incarnations.ts
+++ b/src/membership/inactive-incarnations.ts
@@ -74,7 +74,8 @@
   }
 
   /**
-   * Without a start time, a later incarnation couldn't be told from this one.
+   * Without a start time, a later incarnation couldn't be distinguished from
+   * this one.
    */
   addDropped(server: BackendServer): void {
     if (server.startedAtMs === undefined) return;
--- a/src/membership/incarnation.ts
+++ b/src/membership/incarnation.ts
@@ -17,7 +17,7 @@
 
 /**
  * Whether the incarnation `seen` is earlier or later than the known one.
- * Incarnations that can't be told apart count as the same.
+ * Incarnations that can't be distinguished count as the same.
  */
 export function compareIncarnations(
   known: IncarnationStart,
--- a/src/membership/runner-groups.ts
+++ b/src/membership/runner-groups.ts
@@ -98,7 +98,7 @@
 
   /**
    * Group of the runner at the address, host:port. If the service has only one
-   * group, its runners aren't distinguished: one that has just come back
+   * group, its runners aren't distinguished: one that has just restarted
    * belongs to the group before the planner publishes it.
    */
   groupOf(address: string): string {
--- a/src/platform/keyed-topic.ts
+++ b/src/platform/keyed-topic.ts
@@ -32,7 +32,7 @@
 export interface KeyedWriter {
   /**
    * Throws 1901, after which the record may still have been written. Records
-   * are lost when the store is restored from an older copy; the caller has to
+   * are lost when the store is rolled back to an older copy; the caller has to
    * write them again.
    */
   readonly put: (key: string, value: Buffer) => Promise<void>;
--- a/src/platform/topic-follower.ts
+++ b/src/platform/topic-follower.ts
@@ -2,7 +2,7 @@
  * Follows a keyed topic: reads the newest record of each key once, then the
  * changes. The start and the end of an outage are each reported once. All
  * newest records are read again if the store no longer holds the history or was
- * restored from an older copy.
+ * rolled back to an older copy.
  */
 import { pause } from "../daemon/background-task.js";
 import { toFailure, type Emit, type Random } from "../internal.js";
@@ -37,7 +37,7 @@
   readonly findings: RecordFindings;
   /**
    * Receives all newest records: at the start, after the history was lost, and
-   * after the store was restored from an older copy.
+   * after the store was rolled back to an older copy.
    */
   readonly onSnapshot: (records: readonly KeyedRecord[]) => void;
   /**
@@ -46,7 +46,7 @@
    */
   readonly onChanges: (records: readonly KeyedRecord[]) => void;
   /**
-   * The store was restored from an older copy; the snapshot follows. The
+   * The store was rolled back to an older copy; the snapshot follows. The
    * argument is the start of the last call that didn't show the new era, on the
    * clock of `performance.now()`.
    */
@@ -143,7 +143,7 @@
     this.cause = cause;
   }
 
-  /** Reports a restored store before the records read from it are applied. */
+  /** Reports a rolled-back store before the records read from it are applied. */
   private updateEra(era: number): void {
     const previous = this.era;
     this.era = era;
--- a/src/rankmaps/group-planner.ts
+++ b/src/rankmaps/group-planner.ts
@@ -45,7 +45,7 @@
   readonly engine: EngineProperties;
   /**
    * The group that the lease is for. A runner may restart in another group, and
-   * fencing numbers of two groups' leases can't be compared.
+   * fencing tokens of two groups' leases can't be compared.
    */
   readonly group: string;
   /**
--- a/src/rankmaps/held-step-resolution.ts
+++ b/src/rankmaps/held-step-resolution.ts
@@ -1,6 +1,6 @@
 /**
  * Resolves a held step by completing or cancelling its switch. It needs no
- * fencing numbers, and no rank whose VM is frozen unless that rank may be
+ * fencing tokens, and no rank whose VM is frozen unless that rank may be
  * armed.
  * - The holder isn't armed: no rank is, and none will be once the holder has
  *   prepared a higher version. After that one order the step can be released,
@@ -39,7 +39,7 @@
    * the active map, since it needs no copies.
    */
   readonly placeholderMap: MapSets;
-  /** Highest version that ranks are known to have been told to prepare. */
+  /** Highest version that ranks are known to have been ordered to prepare. */
   readonly highestVersion: number;
 }
 
--- a/src/rankmaps/hold-guard.ts
+++ b/src/rankmaps/hold-guard.ts
@@ -25,7 +25,7 @@
   readonly emit: Emit;
   /** All ranks of the group. Throws 1901 or 1607. */
   readonly group: () => Promise<readonly GroupRank[]>;
-  /** Maps that the own rank was told to prepare. */
+  /** Maps that the own rank was ordered to prepare. */
   readonly maps: RelayedMaps;
   readonly signal: AbortSignal;
 }
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Call before the own rank is told to hold the step. Each hold is watched
+   * Call before the own rank is ordered to hold the step. Each hold is watched
    * separately: one of an earlier incarnation or epoch, whose group no longer
    * exists, must not prevent the next one from being watched.
    */
--- a/src/rankmaps/map-versions.ts
+++ b/src/rankmaps/map-versions.ts
@@ -15,7 +15,7 @@
  */
 
 /**
- * Versions and fencing numbers available to one generation of the planner
+ * Versions and fencing tokens available to one generation of the planner
  * lease.
  */
 export const VERSIONS_PER_GENERATION = 1_000_000;
--- a/src/rankmaps/reachable-rank.ts
+++ b/src/rankmaps/reachable-rank.ts
@@ -6,7 +6,7 @@
  *
  * A response of an earlier incarnation is treated as a failure once a later one
  * was seen. An order that the earlier one accepted proves nothing, because the
- * later one knows neither the order nor its fencing number. If it counted as
+ * later one knows neither the order nor its fencing token. If it counted as
  * done, a step could begin with this rank on the old map.
  */
 import { raise, type Now } from "../internal.js";
--- a/src/rankmaps/types.ts
+++ b/src/rankmaps/types.ts
@@ -103,7 +103,7 @@
    */
   | { readonly kind: "accepted"; readonly isDone: boolean }
   | { readonly kind: "refused"; readonly status: number }
-  /** An order with a higher fencing number has been accepted already. */
+  /** An order with a higher fencing token has been accepted already. */
   | { readonly kind: "fenced" };
 
 /**
--- a/src/session/agent-runs.ts
+++ b/src/session/agent-runs.ts
@@ -87,7 +87,7 @@
   /** Attaches a new reader to the run and sends it the buffered pieces. */
   attach(run: Run, frame: DispatchFrame, connection: number): void {
     // The caller repeated its request at another entry. The answer moves there,
-    // and the first entry is told that it gets no more of it.
+    // and the first entry is notified that it gets no more of it.
     if (run.connection !== undefined && run.connection !== connection) {
       this.send(run, { kind: "broken", attempt: run.attempt, error: 1218 });
     }
--- a/src/shared/answer-end.ts
+++ b/src/shared/answer-end.ts
@@ -1,7 +1,7 @@
 /**
  * Message framing of HTTP answers. An answer without framing ends when its
  * connection closes, which also happens if the server crashes in the middle: a
- * truncated answer can't be told from a complete one.
+ * truncated answer can't be distinguished from a complete one.
  */
 
 /**
--- a/tests/claims/coordinator.test.ts
+++ b/tests/claims/coordinator.test.ts
@@ -187,8 +187,8 @@
       const refused = coordinator.onRefused("a", lateMs);
       assert.equal(kinds(refused), ["append"]);
       const close = record(1, batchOf(refused));
-      const told = coordinator.onRead(SHARD, 0, [close], lateMs);
-      assert.is(outcomeOf(told), "not-run");
+      const effects = coordinator.onRead(SHARD, 0, [close], lateMs);
+      assert.is(outcomeOf(effects), "not-run");
       const repeat = coordinator.begin(request({ call: "b" }), lateMs);
       assert.is(outcomeOf(repeat), "not-run");
     });
--- a/tests/membership/runner-groups.test.ts
+++ b/tests/membership/runner-groups.test.ts
@@ -59,9 +59,9 @@
   });
 
   it("aren't distinguished in a service that has only one", () => {
-    // A rank that came back at another address would count as a separate group
-    // until its planner names it, and callers wouldn't wait for the group to be
-    // available.
+    // A rank that registers anew at another address would count as a separate
+    // group until its planner names it, and callers wouldn't wait for the group
+    // to be available.
     const groups = RunnerGroups.create();
     groups.apply(FIRST);
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
--- a/tests/platform/store-pages.test.ts
+++ b/tests/platform/store-pages.test.ts
@@ -159,12 +159,12 @@
   });
 });
 
-describe("seats at the store", () => {
+describe("leases at the store", () => {
   async function join(body: string): Promise<boolean> {
     await using store = await CannedResponseServer.create(() => ({ body }));
     await using client = StoreClient.create(store.address);
-    const seats = createLeaseService(client);
-    return (await seats.join("group", "member", 0, 1000)).isHolder;
+    const leaseService = createLeaseService(client);
+    return (await leaseService.join("group", "member", 0, 1000)).isHolder;
   }
 
   it("are read from the row that names them, despite malformed rows", async () => {
@@ -175,8 +175,11 @@
       ["seats", "0", 1],
       {},
     ];
-    const withoutSeat = JSON.stringify({ generation: 3, parts: malformedRows });
-    assert.not.ok(await join(withoutSeat));
+    const withoutLease = JSON.stringify({
+      generation: 3,
+      parts: malformedRows,
+    });
+    assert.not.ok(await join(withoutLease));
     const rows = [...malformedRows, ["seats", 0, 0]];
     assert.ok(await join(JSON.stringify({ generation: 3, parts: rows })));
   });
--- a/tests/platform/store-rollback.test.ts
+++ b/tests/platform/store-rollback.test.ts
@@ -11,7 +11,7 @@
 const AFTER_GRACE_MS = 3200;
 const ERA_METRIC = "apricotdeck_store_era";
 
-describe("an entry whose store was restored from an older copy", () => {
+describe("an entry whose store was rolled back to an older copy", () => {
   it("sends no requests to a runner that has left but is ready in the copy", async () => {
     // The copy precedes the runner's announcement that it leaves. No call to
     // the store failed in between, and new records have taken the offsets of
--- a/tests/platform/truncated-responses.test.ts
+++ b/tests/platform/truncated-responses.test.ts
@@ -51,7 +51,7 @@
 const engineState = { engine: "engine-1", values: {} };
 const page = { startOffset: 0, nextOffset: 10, records: [] };
 const newest = { entries: [], has_more: false, end_offset: 12 };
-const seat = { generation: 1, parts: [["seats", 0, 0]] };
+const lease = { generation: 1, parts: [["seats", 0, 0]] };
 const report = { size: 4, step: 7, mapping: 3, pace: 1.5 };
 
 const readers: readonly Reader[] = [
@@ -111,8 +111,8 @@
       ),
   },
   {
-    name: "store, seats",
-    body: seat,
+    name: "store, lease",
+    body: lease,
     read: (address) =>
       withStore(address, (client) =>
         createLeaseService(client).join("group", "member", 1, 1000),
--- a/tests/rankmaps/group-planner.test.ts
+++ b/tests/rankmaps/group-planner.test.ts
@@ -58,7 +58,7 @@
 class PlannedGroup {
   readonly engines = SimulatedEngines.create(RANKS, createRandom(1));
   readonly orderLog: { readonly rank: number; readonly kind: string }[] = [];
-  /** Versions that ranks were told to prepare. */
+  /** Versions that ranks were ordered to prepare. */
   readonly versions: number[] = [];
   private readonly coordinators = SwitchCoordinators.create();
   /** Ranks that don't answer any more. */
@@ -520,8 +520,8 @@
     }
 
     it("orders nothing in another group than that of its lease", async () => {
-      // The planner's own runner has come back in another group, which has a
-      // planner with its own lease. Fencing numbers of two leases can't be
+      // The planner's own runner has restarted in another group, which has a
+      // planner with its own lease. Fencing tokens of two leases can't be
       // compared, so ranks could be armed by both.
       const group = new PlannedGroup();
       const planner = group.createPlanner("another");
--- a/tests/rankmaps/hold-guard.test.ts
+++ b/tests/rankmaps/hold-guard.test.ts
@@ -174,7 +174,7 @@
   });
 
   it("keeps holding the step when another unreachable rank may be armed", async () => {
-    // The VM of a rank freezes that was told to arm together with others.
+    // The VM of a rank freezes that was ordered to arm together with others.
     const engines = preparedEngines();
     armRanks(engines, [HOLDER, 2]);
     const until = performance.now() + 600;
@@ -264,9 +264,9 @@
 
     it("watches the next hold while still watching the previous one", async () => {
       // The holder restarts while its hold is watched, and is unreachable for a
-      // moment. In the new epoch it is told to hold a step of the same number,
-      // and that planner dies. With the old fence every order would be refused,
-      // and the group would stop.
+      // moment. In the new epoch it is ordered to hold a step of the same
+      // number, and that planner dies. With the old fence every order would be
+      // refused, and the group would stop.
       const engines = preparedEngines();
       let isHolderUnreachable = false;
       const stop = new AbortController();
--- a/tests/rankmaps/simulated-engines.ts
+++ b/tests/rankmaps/simulated-engines.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates the engines of one group as a platform may implement them: an order
  * may get no response and be carried out later, after newer ones, and a report
- * may be outdated. Some engines reject old fencing numbers, others ignore them.
+ * may be outdated. Some engines reject old fencing tokens, others ignore them.
  * An engine may restart under its id; it then has no memory of earlier orders,
  * and reports of its earlier incarnation may still arrive.
  */
@@ -234,7 +234,7 @@
 
   /**
    * Forms the broken group again; ranks that kept running keep their version
-   * and fencing numbers.
+   * and fencing tokens.
    */
   reformGroup(): void {
     if (this.isOpen && !this.isStalled) return;
@@ -284,7 +284,7 @@
     if (this.isFencingChecked && fence.fencing < engine.fencing) return;
     this.retainReport(rank);
     if (!this.apply(engine, order)) return;
-    // A rejected order doesn't change the fencing number.
+    // A rejected order doesn't change the fencing token.
     engine.fencing = fence.fencing;
     this.accepted.push({ rank, fence, startedAtMs: engine.startedAtMs });
   }
--- a/tests/rankmaps/switch-orders.test.ts
+++ b/tests/rankmaps/switch-orders.test.ts
@@ -75,7 +75,7 @@
   );
   private isIdle = false;
   private maps = 0;
-  /** The highest version that each rank was told to prepare. */
+  /** The highest version that each rank was ordered to prepare. */
   readonly orderedVersions = Array.from({ length: RANKS }, () => 0);
 
   constructor(
@@ -348,7 +348,7 @@
 
   it("never lets a pass coordinator with two maps while ranks restart often", () => {
     // A restarted rank has lost what it prepared, what it was armed for and
-    // held, and which fencing number it accepted; late responses and reports
+    // held, and which fencing token it accepted; late responses and reports
     // from before say otherwise.
     for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
       const { history } = simulate(seed, MANY_RESTARTS);
