--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -268,8 +268,8 @@
   reload(settings: DirectSettings): void {
     const changed = changedFields(this.options.settings, settings);
     this.graceSeconds = settings.graceSeconds;
-    const waiting = changed.filter((field) => field !== "graceSeconds");
-    this.emit(203, { changed: waiting.join(",") });
+    const needingRestart = changed.filter((field) => field !== "graceSeconds");
+    this.emit(203, { changed: needingRestart.join(",") });
   }
 
   /**
--- a/src/direct/forwarder.ts
+++ b/src/direct/forwarder.ts
@@ -176,8 +176,8 @@
       this.failOrBreakOff(1220);
       return;
     }
-    const entered = await options.scheduler.admit(call);
-    await entered.caseOf({
+    const admission = await options.scheduler.admit(call);
+    await admission.caseOf({
       Left: ({ error, retryAfterMs }) => {
         this.refuse(error, retryAfterMs);
         return Promise.resolve();
@@ -223,10 +223,10 @@
         end.kind === "not-run" &&
         scheduler.isUnavailable(this.call.service)
       ) {
-        const again = await this.readmit(admitted);
-        if (again === undefined)
+        const readmitted = await this.readmit(admitted);
+        if (readmitted === undefined)
           return { isServed: false, heldAdmission: undefined };
-        admitted = again;
+        admitted = readmitted;
         continue;
       }
       const next = this.reassign(admitted, end);
@@ -248,13 +248,13 @@
   ): Promise<AdmittedRequest | undefined> {
     const { scheduler } = this.options;
     scheduler.finish(admitted, undefined);
-    const entered = await scheduler.admit(this.call);
-    return entered.caseOf<AdmittedRequest | undefined>({
+    const admission = await scheduler.admit(this.call);
+    return admission.caseOf<AdmittedRequest | undefined>({
       Left: ({ error, retryAfterMs }) => {
         this.refuse(error, retryAfterMs);
         return undefined;
       },
-      Right: (again) => again,
+      Right: (readmitted) => readmitted,
     });
   }
 
@@ -281,7 +281,7 @@
     if (this.giveUpReason !== undefined) {
       return { kind: "given-up", wasSent: false, reason: this.giveUpReason };
     }
-    const resumeAfter = relay === undefined ? undefined : relay.lastEventId;
+    const lastEventId = relay === undefined ? undefined : relay.lastEventId;
     const headers = options.codec.forward(call.headers, {
       runner: runner.server.id,
       account: call.account,
@@ -289,7 +289,7 @@
         1,
         Math.floor(call.deadlineAtMs - performance.now()),
       ),
-      resumeAfterEventId: resumeAfter === 0 ? undefined : resumeAfter,
+      resumeAfterEventId: lastEventId === 0 ? undefined : lastEventId,
     });
     const attempt = Attempt.create({
       connections: runner.connections,
@@ -330,9 +330,11 @@
     if (relay === undefined) return attempt.run();
     const startedAtMs = performance.now();
     const timer = setInterval(() => {
-      const lastMs = Math.max(relay.lastEventAtMs, startedAtMs);
-      const serviceMs = options.scheduler.lastEventAtMs(call.service);
-      if (isStalled(performance.now(), lastMs, serviceMs)) {
+      const lastEventAtMs = Math.max(relay.lastEventAtMs, startedAtMs);
+      const serviceLastEventAtMs = options.scheduler.lastEventAtMs(
+        call.service,
+      );
+      if (isStalled(performance.now(), lastEventAtMs, serviceLastEventAtMs)) {
         attempt.giveUp("stalled");
       } else if (this.shouldMove(admitted)) {
         attempt.giveUp("slow");
--- a/src/index.ts
+++ b/src/index.ts
@@ -122,7 +122,7 @@
   WindowCollector,
 } from "./internal.js";
 export type {
-  DecisionInput as Decision,
+  DecisionInput,
   ExpertMap,
   ExpertMove,
   GroupShape,
--- a/src/rankmaps/group-planner.ts
+++ b/src/rankmaps/group-planner.ts
@@ -135,7 +135,7 @@
       this.reset();
       return raise(1606, { ranks: observations.length });
     }
-    this.options.pace.report(paceOf(ranks, observations));
+    this.options.pace.report(paceNotesOf(ranks, observations));
     this.updateSnapshot(observations, states, withCounts, nowMs);
     if (coordinator.isIdle(states))
       this.goal ??= this.planGoal(coordinator, states);
@@ -325,7 +325,7 @@
         const index = states.findIndex((state) => state.rank === rank);
         const { startedAtMs } = states[index];
         const addressed = { order, startedAtMs };
-        const result = await this.sendOne(ranks[index], addressed, fence);
+        const result = await this.sendOrder(ranks[index], addressed, fence);
         return result?.kind === "accepted" && result.isDone;
       }),
     );
@@ -333,7 +333,7 @@
   }
 
   /** An order without a response is sent again after the next observation. */
-  private async sendOne(
+  private async sendOrder(
     rank: GroupRank,
     { order, startedAtMs }: IncarnationScoped & { readonly order: RankOrder },
     fence: OrderFence,
@@ -386,7 +386,7 @@
   );
 }
 
-function paceOf(
+function paceNotesOf(
   ranks: readonly GroupRank[],
   observations: readonly Observation[],
 ): readonly PaceNote[] {
