--- a/fuzz/requests.ts
+++ b/fuzz/requests.ts
@@ -10,7 +10,7 @@
 import { Simulation } from "./requests/simulation.js";
 import type { FuzzTarget } from "./target.js";
 
-const MAXIMUM_HISTORY_LENGTH = 50;
+const MAXIMUM_HISTORY_STEPS = 50;
 
 /** Maximum histories until the absence of a safeguard is detected. */
 const mutations = {
@@ -49,7 +49,7 @@
           runToCompletion(simulation);
           return findViolations(simulation);
         },
-        maximumLength: MAXIMUM_HISTORY_LENGTH,
+        maximumLength: MAXIMUM_HISTORY_STEPS,
       },
       settings,
     );
--- a/fuzz/requests/check-histories.ts
+++ b/fuzz/requests/check-histories.ts
@@ -22,7 +22,7 @@
   readonly maximumLength: number;
 }
 
-const PROGRESS_INTERVAL = 10_000;
+const PROGRESS_INTERVAL_HISTORIES = 10_000;
 const MAXIMUM_OPERAND = 7;
 
 function historyArbitrary(target: HistoryTarget): fc.Arbitrary<Step[]> {
@@ -50,7 +50,8 @@
   const property = fc.property(historyArbitrary(target), (history) => {
     histories += 1;
     commands += history.length;
-    if (histories % PROGRESS_INTERVAL === 0) settings.onProgress?.(histories);
+    if (histories % PROGRESS_INTERVAL_HISTORIES === 0)
+      settings.onProgress?.(histories);
     return runHistory(target, history).length === 0;
   });
   // A mutation only has to be detected; its history needs no shrinking.
--- a/fuzz/requests/commands.ts
+++ b/fuzz/requests/commands.ts
@@ -6,14 +6,14 @@
   Simulation,
 } from "./simulation.js";
 
-/** Index of the command, and two numbers that select its objects. */
-export type Step = readonly [kind: number, a: number, b: number];
+/** Index of the command, and its two operands, which select its objects. */
+export type Step = readonly [kind: number, first: number, second: number];
 
 export interface Command {
   readonly name: string;
   /** Relative frequency of this command. */
   readonly weight: number;
-  readonly run: (simulation: Simulation, a: number, b: number) => void;
+  readonly run: (simulation: Simulation, first: number, second: number) => void;
 }
 
 const STEP_LENGTHS_MS = [10, 60, 300, 700, 1_300, 1_300, 1_900, 2_600];
@@ -58,114 +58,123 @@
   return [...dispatched, ...started];
 }
 
-/** Steps without faults: requests, and time in these lengths. */
-export const stepCommands = (lengthsMs: readonly number[]): Command[] => [
+/**
+ * Commands without faults: accept a request, advance time by one of these
+ * lengths, and run an engine.
+ */
+export const faultFreeCommands = (lengthsMs: readonly number[]): Command[] => [
   {
     name: "accept",
     weight: 6,
-    run: (simulation, a, b) => {
-      const isRepeatable = (b & REPEATABLE_BIT) !== 0;
-      const isStreamed = (b & STREAMED_BIT) !== 0;
-      const entry = entryAt(simulation, a);
+    run: (simulation, first, second) => {
+      const isRepeatable = (second & REPEATABLE_BIT) !== 0;
+      const isStreamed = (second & STREAMED_BIT) !== 0;
+      const entry = entryAt(simulation, first);
       if (!entry.paused) simulation.accept(entry, isRepeatable, isStreamed);
     },
   },
   {
     name: "step",
     weight: 8,
-    run: (simulation, a) => {
-      simulation.step(pickCyclic(lengthsMs, a) ?? 0);
+    run: (simulation, first) => {
+      simulation.step(pickCyclic(lengthsMs, first) ?? 0);
     },
   },
   {
     name: "engine step",
     weight: 2,
-    run: (simulation, a) => {
-      simulation.stepEngine(agentAt(simulation, a));
+    run: (simulation, first) => {
+      simulation.stepEngine(agentAt(simulation, first));
     },
   },
 ];
 
-const network: readonly Command[] = [
+const networkCommands: readonly Command[] = [
   {
-    name: "deliver up out of order",
+    name: "deliver to agent out of order",
     weight: 3,
-    run: (simulation, a, b) => {
-      const connection = connectionAt(simulation, a);
+    run: (simulation, first, second) => {
+      const connection = connectionAt(simulation, first);
       if (connection?.agent.paused === false)
-        simulation.deliverToAgent(connection, b % 3);
+        simulation.deliverToAgent(connection, second % 3);
     },
   },
   {
-    name: "deliver down out of order",
+    name: "deliver to entry out of order",
     weight: 3,
-    run: (simulation, a, b) => {
-      const connection = connectionAt(simulation, a);
+    run: (simulation, first, second) => {
+      const connection = connectionAt(simulation, first);
       if (connection?.entry.paused === false) {
-        simulation.deliverToEntry(connection, b % 3);
+        simulation.deliverToEntry(connection, second % 3);
       }
     },
   },
   {
     name: "duplicate a frame",
     weight: 2,
-    run: (simulation, a, b) => {
-      const connection = connectionAt(simulation, a);
-      const up = connection?.toAgent.at(b >> 1);
-      const down = connection?.toEntry.at(b >> 1);
-      if (b % 2 === 0 && up !== undefined) connection?.toAgent.push(up);
-      if (b % 2 === 1 && down !== undefined) connection?.toEntry.push(down);
+    run: (simulation, first, second) => {
+      const connection = connectionAt(simulation, first);
+      const frameToAgent = connection?.toAgent.at(second >> 1);
+      const frameToEntry = connection?.toEntry.at(second >> 1);
+      if (second % 2 === 0 && frameToAgent !== undefined)
+        connection?.toAgent.push(frameToAgent);
+      if (second % 2 === 1 && frameToEntry !== undefined)
+        connection?.toEntry.push(frameToEntry);
     },
   },
   {
     name: "lose a frame",
     weight: 2,
-    run: (simulation, a, b) => {
-      const connection = connectionAt(simulation, a);
-      if (b % 2 === 0) connection?.toAgent.splice(b >> 1, 1);
-      else connection?.toEntry.splice(b >> 1, 1);
+    run: (simulation, first, second) => {
+      const connection = connectionAt(simulation, first);
+      if (second % 2 === 0) connection?.toAgent.splice(second >> 1, 1);
+      else connection?.toEntry.splice(second >> 1, 1);
     },
   },
   {
     name: "corrupt a piece",
     weight: 1,
-    run: (simulation, a, b) => {
-      const down = connectionAt(simulation, a)?.toEntry;
-      const frame = down?.at(b);
+    run: (simulation, first, second) => {
+      const framesToEntry = connectionAt(simulation, first)?.toEntry;
+      const frame = framesToEntry?.at(second);
       if (frame?.kind !== "piece") return;
-      down?.splice(b, 1, { ...frame, data: Buffer.from(CORRUPTED_PIECE) });
+      framesToEntry?.splice(second, 1, {
+        ...frame,
+        data: Buffer.from(CORRUPTED_PIECE),
+      });
     },
   },
   {
     name: "silence a connection",
     weight: 3,
-    run: (simulation, a) => {
-      const connection = connectionAt(simulation, a);
+    run: (simulation, first) => {
+      const connection = connectionAt(simulation, first);
       if (connection !== undefined) connection.silent = true;
     },
   },
   {
     name: "cut a connection",
     weight: 3,
-    run: (simulation, a) => {
-      const connection = connectionAt(simulation, a);
+    run: (simulation, first) => {
+      const connection = connectionAt(simulation, first);
       if (connection !== undefined) simulation.cut(connection);
     },
   },
   {
     name: "partition",
     weight: 1,
-    run: (simulation, a) => {
-      simulation.partitioned = a % 2 === 0;
+    run: (simulation, first) => {
+      simulation.partitioned = first % 2 === 0;
     },
   },
   {
     name: "lose a close or its reply",
     weight: 1,
-    run: (simulation, _a, b) => {
+    run: (simulation, _first, second) => {
       const close = simulation.closes.shift();
       if (close === undefined) return;
-      if (b % 2 === 1 && !close.agent.paused) simulation.executeClose(close);
+      if (second % 2 === 1 && !close.agent.paused)
+        simulation.executeClose(close);
       simulation.failClose(close);
     },
   },
@@ -179,13 +188,13 @@
   },
 ];
 
-const processes: readonly Command[] = [
+const processCommands: readonly Command[] = [
   {
     name: "cancel",
     weight: 1,
-    run: (simulation, a, b) => {
-      const request = pickCyclic([...simulation.callers.keys()], b);
-      const entry = entryAt(simulation, a);
+    run: (simulation, first, second) => {
+      const request = pickCyclic([...simulation.callers.keys()], second);
+      const entry = entryAt(simulation, first);
       if (request === undefined || entry.paused) return;
       entry.machine.cancel(request, simulation.now);
     },
@@ -193,67 +202,70 @@
   {
     name: "restart agent",
     weight: 2,
-    run: (simulation, a) => {
-      simulation.restartAgent(agentAt(simulation, a));
+    run: (simulation, first) => {
+      simulation.restartAgent(agentAt(simulation, first));
     },
   },
   {
     name: "restart entry",
     weight: 1,
-    run: (simulation, a) => {
-      simulation.restartEntry(entryAt(simulation, a));
+    run: (simulation, first) => {
+      simulation.restartEntry(entryAt(simulation, first));
     },
   },
   {
     name: "pause or resume entry",
     weight: 1,
-    run: (simulation, a) => {
-      const entry = entryAt(simulation, a);
+    run: (simulation, first) => {
+      const entry = entryAt(simulation, first);
       entry.paused = !entry.paused;
     },
   },
   {
     name: "pause or resume agent",
     weight: 1,
-    run: (simulation, a) => {
-      const agent = agentAt(simulation, a);
+    run: (simulation, first) => {
+      const agent = agentAt(simulation, first);
       agent.paused = !agent.paused;
     },
   },
   {
     name: "toggle engine refusal",
     weight: 1,
-    run: (simulation, a) => {
-      const { engine } = agentAt(simulation, a);
+    run: (simulation, first) => {
+      const { engine } = agentAt(simulation, first);
       engine.isRefusing = !engine.isRefusing;
     },
   },
   {
     name: "restart engine",
     weight: 1,
-    run: (simulation, a) => {
-      const agent = agentAt(simulation, a);
+    run: (simulation, first) => {
+      const agent = agentAt(simulation, first);
       if (!agent.paused) simulation.restartEngine(agent);
     },
   },
   {
     name: "withdraw",
     weight: 1,
-    run: (simulation, a, b) => {
-      const agent = agentAt(simulation, a);
-      const chosen = pickCyclic(withdrawableAttempts(simulation, agent), b);
+    run: (simulation, first, second) => {
+      const agent = agentAt(simulation, first);
+      const chosen = pickCyclic(
+        withdrawableAttempts(simulation, agent),
+        second,
+      );
       if (chosen === undefined || agent.paused) return;
       simulation.withdraw(agent, chosen.attempt, chosen.incarnation);
     },
   },
 ];
 
-const leaving: readonly Command[] = [
+const leavingCommands: readonly Command[] = [
   {
     name: "agent leaves",
     weight: 1,
-    run: (simulation, a) => {
-      const agent = agentAt(simulation, a);
+    run: (simulation, first) => {
+      const agent = agentAt(simulation, first);
       if (agent.paused || agent.leavingSince <= simulation.now) return;
       agent.machine.leave(10_000, simulation.now);
       agent.leavingSince = simulation.now;
@@ -262,10 +274,10 @@
 ];
 
 export const requestCommands: readonly Command[] = [
-  ...stepCommands(STEP_LENGTHS_MS),
-  ...network,
-  ...processes,
-  ...leaving,
+  ...faultFreeCommands(STEP_LENGTHS_MS),
+  ...networkCommands,
+  ...processCommands,
+  ...leavingCommands,
 ];
 
 /** Indexes of the commands, each repeated as often as its weight. */
@@ -278,14 +290,14 @@
 export function runStep(
   commands: readonly Command[],
   simulation: Simulation,
-  [kind, a, b]: Step,
+  [kind, first, second]: Step,
 ): void {
-  commands[kind].run(simulation, a, b);
+  commands[kind].run(simulation, first, second);
 }
 
 export function describeStep(
   commands: readonly Command[],
-  [kind, a, b]: Step,
+  [kind, first, second]: Step,
 ): string {
-  return `${commands[kind].name} ${a} ${b}`;
+  return `${commands[kind].name} ${first} ${second}`;
 }
--- a/fuzz/requests/engine.ts
+++ b/fuzz/requests/engine.ts
@@ -23,6 +23,7 @@
   readonly attempt: string;
   /** Incarnation of the agent that started the run. */
   readonly incarnation: string;
+  /** Virtual time, ms. */
   readonly at: number;
 }
 
@@ -33,7 +34,7 @@
 }
 
 const MINIMUM_ANSWER_PIECES = 4;
-const ANSWER_LENGTH_COUNT = 5;
+const DISTINCT_ANSWER_LENGTHS = 5;
 
 export class SimulatedEngine {
   readonly runs = new Map<string, EngineRun>();
@@ -124,7 +125,7 @@
 
   private generate(run: EngineRun): void {
     const length =
-      MINIMUM_ANSWER_PIECES + (this.starts.length % ANSWER_LENGTH_COUNT);
+      MINIMUM_ANSWER_PIECES + (this.starts.length % DISTINCT_ANSWER_LENGTHS);
     const generation = run.generations.length;
     const answer = Array.from(
       { length },
--- a/fuzz/requests/oracle.ts
+++ b/fuzz/requests/oracle.ts
@@ -6,7 +6,10 @@
 const COMPLETION_STEP_MS = 400;
 const COMPLETION_STEPS = 90;
 
-/** Ends the transient faults and runs until every request has an outcome. */
+/**
+ * Ends the transient faults and runs long enough for every request to get an
+ * outcome.
+ */
 export function runToCompletion(simulation: Simulation): void {
   simulation.partitioned = false;
   for (const entry of simulation.entries) entry.paused = false;
--- a/fuzz/requests/simulation.ts
+++ b/fuzz/requests/simulation.ts
@@ -28,6 +28,7 @@
   readonly entryIncarnation: string;
   readonly agent: AgentNode;
   readonly agentIncarnation: string;
+  /** Number of the session that uses the connection. */
   readonly number: number;
   /** Frames in flight. */
   readonly toAgent: EntryFrame[];
@@ -105,6 +106,7 @@
 };
 
 export class Simulation {
+  /** Virtual time, ms. */
   now = 0;
   readonly entries: EntryNode[] = [];
   readonly agents: AgentNode[] = [];
--- a/src/direct/attempt.ts
+++ b/src/direct/attempt.ts
@@ -164,17 +164,23 @@
   ): string | undefined {
     // A refusal may omit the attempt id. One with another id is a late response
     // to an earlier attempt.
-    const isUnnamed = fields.attemptId === undefined;
-    if (fields.attemptId !== attemptId && !(fields.isNotRun && isUnnamed)) {
+    const hasNoAttemptId = fields.attemptId === undefined;
+    if (
+      fields.attemptId !== attemptId &&
+      !(fields.isNotRun && hasNoAttemptId)
+    ) {
       return "answer to another attempt";
     }
     if (fields.isNotRun) return undefined;
-    if (headers["content-encoding"] !== undefined) return "encoded body";
+    if (headers["content-encoding"] !== undefined)
+      return "response with a content encoding";
     const isSuccess = status < FIRST_NON_SUCCESS_STATUS;
-    if (isSuccess && fields.signature === undefined) return "unsigned success";
+    if (isSuccess && fields.signature === undefined)
+      return "success response without a signature";
     // Forwarded, the status would claim that the request wasn't executed, which
     // the runner hasn't stated.
-    if (NOT_EXECUTED_STATUSES.has(status)) return "unproven refusal status";
+    if (NOT_EXECUTED_STATUSES.has(status))
+      return "refusal status without the statement that the request wasn't run";
     return undefined;
   }
 
--- a/src/direct/caller-listener.ts
+++ b/src/direct/caller-listener.ts
@@ -98,8 +98,9 @@
   } catch (error) {
     const refusal = toFailure(error, 1215);
     if (!request.complete) response.setHeader("connection", "close");
-    const retryMs = refusal.entry.status === 503 ? NOT_READY_RETRY_AFTER_MS : 0;
-    options.fail(response, refusal, retryMs);
+    const retryAfterMs =
+      refusal.entry.status === 503 ? NOT_READY_RETRY_AFTER_MS : 0;
+    options.fail(response, refusal, retryAfterMs);
   }
 }
 
--- a/src/direct/concurrency-limit.ts
+++ b/src/direct/concurrency-limit.ts
@@ -47,14 +47,14 @@
 /** Time after which a change of the limit shows in the pauses, ms. */
 const ADJUSTMENT_INTERVAL_MS = 250;
 /**
- * Initial and minimum limit. An entry doesn't know how many other entries there
- * are; with fewer requests it can't measure the pauses well enough to raise the
- * limit.
+ * Initial and minimum limit, requests. An entry doesn't know how many other
+ * entries there are; with fewer requests it can't measure the pauses well
+ * enough to raise the limit.
  */
 const MINIMUM_LIMIT = 4;
 
 export class ConcurrencyLimit {
-  /** Fractional, so that small decreases accumulate. */
+  /** Requests; fractional, so that small decreases accumulate. */
   private limit = MINIMUM_LIMIT;
   private isSlowStarting = true;
   private meanPauseMs = 0;
@@ -99,9 +99,9 @@
     const nowMs = this.inputs.now();
     this.latestEventAtMs = nowMs;
     if (nowMs - this.adjustedAtMs < ADJUSTMENT_INTERVAL_MS) return;
-    const isAbove = this.meanPauseMs > objectiveMs * TARGET_PAUSE_SHARE;
+    const isAboveTarget = this.meanPauseMs > objectiveMs * TARGET_PAUSE_SHARE;
     const running = countRunning();
-    if (isAbove) this.lower(running, nowMs);
+    if (isAboveTarget) this.lower(running, nowMs);
     else this.raise(running, nowMs);
   }
 
--- a/src/direct/end-to-end-headers.ts
+++ b/src/direct/end-to-end-headers.ts
@@ -1,10 +1,13 @@
 /**
- * Removes hop-by-hop headers, which apply to a single connection and must not
- * be forwarded.
+ * Removes headers that apply to a single connection and must not be forwarded.
  */
 import type { HeaderPairs } from "./types.js";
 
-const HOP_BY_HOP: ReadonlySet<string> = new Set([
+/**
+ * Hop-by-hop headers, and two that each connection handles for itself:
+ * content-length and expect.
+ */
+const REMOVED_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -27,7 +30,7 @@
   const named = headersNamedByConnection(pairs);
   return pairs.filter(([name]) => {
     const key = name.toLowerCase();
-    return !HOP_BY_HOP.has(key) && !named.has(key);
+    return !REMOVED_HEADERS.has(key) && !named.has(key);
   });
 }
 
@@ -35,11 +38,12 @@
 export function endToEndResponseHeaders(
   headers: Readonly<NodeJS.Dict<string | string[]>>,
 ): Record<string, string | string[]> {
-  const passed: Record<string, string | string[]> = {};
+  const forwarded: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value !== undefined && !HOP_BY_HOP.has(name)) passed[name] = value;
+    if (value !== undefined && !REMOVED_HEADERS.has(name))
+      forwarded[name] = value;
   }
-  return passed;
+  return forwarded;
 }
 
 function headersNamedByConnection(pairs: HeaderPairs): ReadonlySet<string> {
--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -283,14 +283,14 @@
     this.emit(102, { graceMs });
     for (const response of this.openResponses) announceClose(response);
     const startedAtMs = performance.now();
-    const elapsed = (): number => performance.now() - startedAtMs;
-    while (elapsed() < BALANCER_NOTICE_MS)
+    const elapsedMs = (): number => performance.now() - startedAtMs;
+    while (elapsedMs() < BALANCER_NOTICE_MS)
       await pause(DRAIN_POLL_MS, this.stopController.signal);
     this.isClosed = true;
     this.server.close();
     while (
       this.openResponses.size > 0 &&
-      elapsed() < graceMs * DRAIN_SHARE_OF_GRACE
+      elapsedMs() < graceMs * DRAIN_SHARE_OF_GRACE
     ) {
       this.server.closeIdleConnections();
       await pause(DRAIN_POLL_MS, this.stopController.signal);
@@ -467,9 +467,9 @@
 
   private readinessServer(): ReturnType<typeof createServer> {
     return createServer((request, response) => {
-      const isKnown = request.url === this.options.readinessPath;
-      const ready = isKnown && this.isReady;
-      response.writeHead(isKnown ? (ready ? 200 : 503) : 404);
+      const isReadinessPath = request.url === this.options.readinessPath;
+      const ready = isReadinessPath && this.isReady;
+      response.writeHead(isReadinessPath ? (ready ? 200 : 503) : 404);
       response.end();
     });
   }
--- a/src/direct/forwarder.ts
+++ b/src/direct/forwarder.ts
@@ -70,8 +70,8 @@
   /** Whether a complete response of a runner was forwarded. */
   readonly isServed: boolean;
   /**
-   * The admission that still has to be released; undefined if the request was
-   * admitted anew without success.
+   * The admission that still has to be released; undefined if it was released
+   * to queue the request again and the request was then refused.
    */
   readonly heldAdmission: AdmittedRequest | undefined;
 }
@@ -113,7 +113,7 @@
     const { route, fields } = call;
     this.crashTracker = CrashTracker.create(options.suspects, call);
     if (route.kind !== "stream") return;
-    let isFirst = true;
+    let isFirstEvent = true;
     this.relay = EventRelay.create({
       response,
       lastEventId: fields.lastEventId,
@@ -122,9 +122,9 @@
         const { measurements, scheduler } = options;
         const { currentAdmission } = this;
         if (currentAdmission === undefined) return;
-        if (isFirst) {
+        if (isFirstEvent) {
           // The delay of the first event is no pause between two events.
-          isFirst = false;
+          isFirstEvent = false;
           scheduler.onAccepted(currentAdmission);
           measurements.observe("firstEventDelay", this.ageMs() / 1000);
           return;
@@ -349,8 +349,8 @@
 
   /**
    * Streams leave a slow rank at once, because it delays its whole group for as
-   * long as it has requests of its own: five seconds or more if it finished the
-   * streams it had.
+   * long as it runs requests: five seconds or more if it finished the streams
+   * that it has.
    */
   private shouldMove(admitted: AdmittedRequest): boolean {
     const { scheduler } = this.options;
--- a/src/direct/port-state.ts
+++ b/src/direct/port-state.ts
@@ -8,7 +8,10 @@
 /** Connection timeout, ms. It is short because a caller is waiting. */
 const CONNECT_TIMEOUT_MS = 150;
 /** Error codes that show that no process listens at the port. */
-const CLOSED: ReadonlySet<string> = new Set(["ECONNREFUSED", "ECONNRESET"]);
+const CLOSED_PORT_ERROR_CODES: ReadonlySet<string> = new Set([
+  "ECONNREFUSED",
+  "ECONNRESET",
+]);
 
 /** `address`: host:port. */
 export function portState(address: string): Promise<PortState> {
@@ -25,7 +28,7 @@
       settle("open");
     });
     socket.once("error", ({ code = "" }: NodeJS.ErrnoException) => {
-      settle(CLOSED.has(code) ? "closed" : "silent");
+      settle(CLOSED_PORT_ERROR_CODES.has(code) ? "closed" : "silent");
     });
   });
 }
--- a/src/direct/request-scheduler.ts
+++ b/src/direct/request-scheduler.ts
@@ -67,24 +67,24 @@
 const MAXIMUM_QUEUED_TOKENS = 1_000_000;
 
 /**
- * Share of the objective that a request may wait in the queue. A late response
- * is better than a refusal, but a longer wait only makes the requests behind it
- * late as well.
+ * Share of the route's objective that a request may wait in the queue. A late
+ * response is better than a refusal, but a longer wait only makes the requests
+ * behind it late as well.
  */
 const QUEUE_WAIT_SHARE_OF_OBJECTIVE = 1;
 
 /**
- * Queue time while no runner of the service accepts requests, ms. A group that
- * has lost ranks forms again within about a second. A caller that waits for it
- * is served late, whereas a refused one is often lost, because it is on a retry
- * already.
+ * Time that a request may wait in the queue while no runner of the service
+ * accepts requests, ms, unless its objective allows more. A group that has lost
+ * ranks forms again within about a second. A caller that waits for it is served
+ * late, whereas a refused one is often lost, because it is on a retry already.
  */
 const OUTAGE_QUEUE_WAIT_MS = 1200;
 
 /**
  * Maximum retries that one entry saves up for a service. Deployments allow
- * about a hundred per service and window over all entries, plus a fifth of its
- * requests; a dozen entries stay within that.
+ * about a hundred retries per service and time window over all entries, plus a
+ * fifth of the service's requests; a dozen entries stay within that.
  */
 const MAXIMUM_SAVED_RETRIES = 8;
 
--- a/src/direct/runner-pool.ts
+++ b/src/direct/runner-pool.ts
@@ -20,10 +20,10 @@
   /** Running attempts of this entry at the runner. */
   running: number;
   /**
-   * The runner refused the last request and gets no new ones until this time,
-   * ms.
+   * Monotonic time until which the runner gets no new requests because it
+   * refused the last one, ms.
    */
-  fullUntilMs: number;
+  backoffUntilMs: number;
   /**
    * A later incarnation has started; results of attempts at this one are
    * ignored.
@@ -144,7 +144,7 @@
       retiredConnections: new Set(),
       health: RunnerHealth.create(this.inputs.random),
       running: 0,
-      fullUntilMs: 0,
+      backoffUntilMs: 0,
       isEnded: false,
     });
   }
@@ -198,7 +198,7 @@
     let bestScore = Number.POSITIVE_INFINITY;
     for (const runner of this.runners.values()) {
       if (excluded.has(runner) || !isAllowed(runner)) continue;
-      if (runner.fullUntilMs > nowMs) continue;
+      if (runner.backoffUntilMs > nowMs) continue;
       if (!runner.health.isAvailable(nowMs)) continue;
       const score = this.loadScoreOf(runner);
       if (score >= bestScore) continue;
@@ -232,11 +232,11 @@
         }
         return;
       case "full":
-        runner.fullUntilMs = nowMs + FULL_BACKOFF_MS;
+        runner.backoffUntilMs = nowMs + FULL_BACKOFF_MS;
         health.onInconclusive();
         return;
       case "replaced":
-        runner.fullUntilMs = nowMs + REPLACED_BACKOFF_MS;
+        runner.backoffUntilMs = nowMs + REPLACED_BACKOFF_MS;
         health.onInconclusive();
         return;
       case "none":
@@ -278,10 +278,10 @@
   }
 
   /**
-   * Share of the runner's slots that this entry uses. Ties go to the entry's
-   * own data centre with even odds, and otherwise to a random runner. A slow
-   * runner comes after all others whatever their load, because requests of its
-   * own there delay its whole group.
+   * Share of the runner's slots that this entry uses. Ties are broken at random
+   * with a preference for runners in the entry's own data centre. A slow runner
+   * comes after all others whatever their load, because the requests that it
+   * runs delay its whole group.
    */
   private loadScoreOf({ server, running }: Runner): number {
     const { random, dataCentre, isSlow } = this.inputs;
--- a/src/direct/service-groups.ts
+++ b/src/direct/service-groups.ts
@@ -101,12 +101,12 @@
 
   /** A runner has started to respond. */
   onAccepted(runner: Runner): void {
-    this.groupOf(runner).breaker.onAccepted();
+    this.groupOfRunner(runner).breaker.onAccepted();
   }
 
   /** A runner has refused a request without running it. */
   onRefused(runner: Runner): void {
-    this.groupOf(runner).breaker.onRefused(runner.server.id);
+    this.groupOfRunner(runner).breaker.onRefused(runner.server.id);
   }
 
   /**
@@ -128,7 +128,7 @@
     const name = groupOf(runner.server.address);
     const { concurrencyLimit } = this.groupNamed(name);
     concurrencyLimit.onPause(pauseMs, objectiveMs, () =>
-      pool.countRunning(this.isIn(name)),
+      pool.countRunning(this.isInGroup(name)),
     );
   }
 
@@ -136,10 +136,10 @@
     name: string,
     excluded: ReadonlySet<Runner>,
   ): Runner | undefined {
-    return this.options.pool.selectRunner(excluded, this.isIn(name));
+    return this.options.pool.selectRunner(excluded, this.isInGroup(name));
   }
 
-  private isIn(name: string): (runner: Runner) => boolean {
+  private isInGroup(name: string): (runner: Runner) => boolean {
     const { groupOf } = this.options;
     return ({ server }) => groupOf(server.address) === name;
   }
@@ -154,7 +154,7 @@
     });
   }
 
-  private groupOf({ server }: Runner): Group {
+  private groupOfRunner({ server }: Runner): Group {
     return this.groupNamed(this.options.groupOf(server.address));
   }
 
--- a/src/direct/slow-runner-probe.ts
+++ b/src/direct/slow-runner-probe.ts
@@ -63,10 +63,10 @@
   private probeIfLate(): void {
     const nowMs = this.options.now();
     if (nowMs - this.lastProbeAtMs < PROBE_INTERVAL_MS) return;
-    const late = this.options.lateServices();
-    if (late.length === 0) return;
+    const lateServices = this.options.lateServices();
+    if (lateServices.length === 0) return;
     this.lastProbeAtMs = nowMs;
-    for (const { runners } of late) {
+    for (const { runners } of lateServices) {
       for (const runner of runners) void this.probeRunner(runner);
     }
   }
@@ -79,8 +79,8 @@
     try {
       const slowness = await slownessOf(address);
       // The note names the known incarnation. If a newer one has responded, its
-      // start time isn't known here yet, and the note expires with the next
-      // probe.
+      // start time isn't known here yet, and the note applies until the next
+      // probe replaces it or it expires.
       onPaceNote({ address, slowness, startedAtMs });
     } catch (error) {
       const { message } = toFailure(error, 1607);
--- a/src/direct/stall.ts
+++ b/src/direct/stall.ts
@@ -11,7 +11,7 @@
 
 /**
  * Time without an event after which a stream counts as stalled, ms: eight slow
- * passes, and half of what callers wait.
+ * steps of a group, and half of the time after which callers give up.
  */
 const STALL_TIMEOUT_MS = 1000;
 /** The service progresses if some stream had an event within this time, ms. */
@@ -24,8 +24,8 @@
   /** Time of the stream's last event, or of its start. */
   lastEventAtMs: number,
   /** Time of the last event of any stream of the service. */
-  serviceEventAtMs: number,
+  serviceLastEventAtMs: number,
 ): boolean {
   if (nowMs - lastEventAtMs < STALL_TIMEOUT_MS) return false;
-  return nowMs - serviceEventAtMs < SERVICE_ACTIVE_WINDOW_MS;
+  return nowMs - serviceLastEventAtMs < SERVICE_ACTIVE_WINDOW_MS;
 }
--- a/src/direct/types.ts
+++ b/src/direct/types.ts
@@ -123,7 +123,7 @@
     }
   /**
    * Aborted by this process: the caller has disconnected, the deadline has
-   * passed, or the stream stalled or moves.
+   * passed, or the stream has stalled or moves to a faster runner.
    */
   | {
       readonly kind: "given-up";
--- a/tests/direct/attempt.test.ts
+++ b/tests/direct/attempt.test.ts
@@ -9,10 +9,13 @@
 import { describe, it } from "../support/describe.js";
 
 const ATTEMPT_ID = "attempt-1";
-const MAXIMUM_BYTES = 1024;
-/** Delay after the event, ms: the response is paused by then. */
+const MAXIMUM_BUFFERED_BYTES = 1024;
+/**
+ * Delay between the event and the end of the connection, ms: the response is
+ * paused by then.
+ */
 const END_AFTER_MS = 30;
-/** Delay after the end of the connection, ms. */
+/** Delay between the end of the connection and the resumption, ms. */
 const RESUME_AFTER_MS = 100;
 
 describe("attempt with a paused response", () => {
@@ -52,7 +55,7 @@
         },
         onEnd: () => undefined,
       },
-      maximumBufferedBytes: MAXIMUM_BYTES,
+      maximumBufferedBytes: MAXIMUM_BUFFERED_BYTES,
     });
     const overdueTimer = setTimeout(() => {
       attempt.giveUp("overdue");
--- a/tests/direct/concurrency-limit.test.ts
+++ b/tests/direct/concurrency-limit.test.ts
@@ -9,10 +9,10 @@
 const LARGE_GROUP_SLOTS = 720;
 
 /**
- * Simulates streams of one group behind several entries: a pass takes a fixed
+ * Simulates streams of one group behind several entries: a step takes a fixed
  * time plus a time per running stream. Demand exceeds the limits.
  */
-function simulate(entries: number, msEachStream: number): number[] {
+function simulate(entries: number, stepMsPerStream: number): number[] {
   let nowMs = 0;
   const limits = Array.from({ length: entries }, () =>
     ConcurrencyLimit.create({
@@ -23,16 +23,16 @@
   );
   const running = limits.map(() => 0);
   const pauses: number[] = [];
-  for (let pass = 0; pass < 400; pass += 1) {
+  for (let step = 0; step < 400; step += 1) {
     limits.forEach((limit, entry) => {
-      // One stream in twenty ends in each pass; demand fills all free slots.
+      // One stream in twenty ends in each step; demand fills all free slots.
       running[entry] -= Math.ceil(running[entry] / 20);
       while (running[entry] < limit.limitFor(SLOTS / entries)) {
         running[entry] += 1;
       }
     });
     const total = running.reduce((sum, count) => sum + count, 0);
-    const pauseMs = 30 + msEachStream * total;
+    const pauseMs = 30 + stepMsPerStream * total;
     nowMs += pauseMs;
     pauses.push(pauseMs);
     limits.forEach((limit, entry) => {
@@ -71,8 +71,8 @@
     this.running[entry] = 0;
   }
 
-  /** Runs one pass of the group: some streams end, all others have an event. */
-  pass(): void {
+  /** Runs one step of the group: some streams end, all others have an event. */
+  step(): void {
     this.limits.forEach((limit, entry) => {
       this.endSomeStreams(entry);
       while (this.running[entry] < limit.limitFor(LARGE_GROUP_SLOTS)) {
@@ -104,20 +104,20 @@
 
 /**
  * Restarts the entries one after the other. Returns the running streams of each
- * entry after the limits have settled, summed over the passes.
+ * entry after the limits have settled, summed over the steps.
  */
 function simulateRestarts(seed: number): readonly number[] {
   const group = LargeGroup.create(seed);
   for (let entry = 0; entry < ENTRIES; entry += 1) {
     const restartAtMs = RESTART_INTERVAL_MS * (entry + 1);
-    while (group.nowMs < restartAtMs) group.pass();
+    while (group.nowMs < restartAtMs) group.step();
     group.restart(entry);
   }
   const settledAtMs = group.nowMs + SETTLING_MS;
-  while (group.nowMs < settledAtMs) group.pass();
+  while (group.nowMs < settledAtMs) group.step();
   const sums = group.running.map(() => 0);
   while (group.nowMs < settledAtMs + MEASURED_MS) {
-    group.pass();
+    group.step();
     group.running.forEach((count, entry) => {
       sums[entry] += count;
     });
@@ -125,12 +125,12 @@
   return sums;
 }
 
-describe("limit by the pace of streams", () => {
+describe("concurrency limit", () => {
   for (const seed of [1, 2, 3]) {
     it(`gives every entry its share after restarts, seed ${seed}`, () => {
       // Guards against unequal shares after entries restart one after the
       // other. Each new entry begins with more than its share, and if limits
-      // stay unchanged at the pace at which the group settles, callers of the
+      // stay unchanged at the pause at which the group settles, callers of the
       // data centre whose entries restarted first are refused several times as
       // often as the others. Seen with that fault: limits of 8 and 71 in the
       // logs of twelve entries, and shares of 0.25 and 5 in this test.
--- a/tests/direct/group-simulation.ts
+++ b/tests/direct/group-simulation.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates three groups of ranks behind several entries, in virtual time. Each
- * group makes passes whose duration grows with the streams that run in it. The
- * first group may be slow, or refuse all requests for a while.
+ * group executes steps whose duration grows with the streams that run in it.
+ * The first group may be slow, or refuse all requests for a while.
  */
 import { VirtualTime } from "../../fuzz/virtual-time.js";
 import { RunnerPool, type Runner } from "../../src/direct/runner-pool.js";
@@ -15,9 +15,8 @@
   readonly entries: number;
   /** Whether entries know which runners form a group. */
   readonly knowsGroups: boolean;
-  /** Requests per second. */
-  readonly rate: number;
-  /** Factor by which passes of the first group take longer. */
+  readonly requestsPerSecond: number;
+  /** Factor by which steps of the first group take longer. */
   readonly slowness: number;
   /** Period in which the first group refuses all requests, ms. */
   readonly outage: { readonly fromMs: number; readonly toMs: number };
@@ -39,9 +38,9 @@
 const SLOTS_PER_RANK = 7;
 const EVENTS_PER_STREAM = 19;
 const OBJECTIVE_MS = 150;
-const MINIMUM_PASS_MS = 40;
-/** Time that each stream adds to a pass of its group, ms. */
-const PASS_MS_PER_STREAM = 1;
+const MINIMUM_STEP_MS = 40;
+/** Time that each stream adds to a step of its group, ms. */
+const STEP_MS_PER_STREAM = 1;
 const DURATION_MS = 30_000;
 /**
  * Time in which the concurrency limits settle; calls count from then on, ms.
@@ -90,7 +89,7 @@
   }
 
   run(): GroupOutcome {
-    for (let group = 0; group < GROUPS; group += 1) this.schedulePass(group);
+    for (let group = 0; group < GROUPS; group += 1) this.scheduleStep(group);
     this.scheduleCall();
     this.time.advance(DURATION_MS);
     const { calls, inTime, refusals } = this;
@@ -130,7 +129,8 @@
   }
 
   private scheduleCall(): void {
-    const waitMs = (-Math.log(1 - this.random()) * 1000) / this.options.rate;
+    const waitMs =
+      (-Math.log(1 - this.random()) * 1000) / this.options.requestsPerSecond;
     this.time.schedule(waitMs, () => {
       this.placeCall();
       this.scheduleCall();
@@ -177,14 +177,14 @@
     return group === 0 && nowMs >= fromMs && nowMs < toMs;
   }
 
-  private schedulePass(group: number): void {
+  private scheduleStep(group: number): void {
     const slowness = group === 0 ? this.options.slowness : 1;
-    const passMs =
+    const stepMs =
       slowness *
-      (MINIMUM_PASS_MS + PASS_MS_PER_STREAM * this.streams[group].size);
-    this.time.schedule(passMs, () => {
+      (MINIMUM_STEP_MS + STEP_MS_PER_STREAM * this.streams[group].size);
+    this.time.schedule(stepMs, () => {
       for (const stream of this.streams[group]) this.onEvent(stream);
-      this.schedulePass(group);
+      this.scheduleStep(group);
     });
   }
 
--- a/tests/direct/groups-load.test.ts
+++ b/tests/direct/groups-load.test.ts
@@ -30,7 +30,7 @@
   it("serves 90 % of the callers in time although one group is slow", () => {
     // If every entry loads all groups equally, all streams of the slow group
     // are late, and a limit derived from them throttles the healthy groups too.
-    const load = { rate: 70, slowness: 2, outage: NO_OUTAGE };
+    const load = { requestsPerSecond: 70, slowness: 2, outage: NO_OUTAGE };
     const served = shareInTime(runAll({ ...load, knowsGroups: true }));
     assert.ok(served >= 0.9, String(served));
   });
@@ -38,7 +38,7 @@
   it("serves more callers in time than without knowledge of groups", () => {
     // The load exceeds what all groups can serve in time, and one of them is
     // slow.
-    const load = { rate: 170, slowness: 2, outage: NO_OUTAGE };
+    const load = { requestsPerSecond: 170, slowness: 2, outage: NO_OUTAGE };
     const known = shareInTime(runAll({ ...load, knowsGroups: true }));
     const unknown = shareInTime(runAll({ ...load, knowsGroups: false }));
     assert.ok(known > unknown, `${known} ${unknown}`);
@@ -47,7 +47,7 @@
   it("sends few requests to a refusing group and uses the others", () => {
     // A refused request loses one of its attempts, and the service one of its
     // retries.
-    const load = { rate: 80, slowness: 1, outage: OUTAGE };
+    const load = { requestsPerSecond: 80, slowness: 1, outage: OUTAGE };
     const outcomes = runAll({ ...load, knowsGroups: true });
     for (const { refusals, calls } of outcomes) {
       assert.ok(refusals < calls / 10, String(refusals));
@@ -56,17 +56,17 @@
   });
 
   it("serves 90 % of the callers in time if all groups are alike", () => {
-    const load = { rate: 100, slowness: 1, outage: NO_OUTAGE };
+    const load = { requestsPerSecond: 100, slowness: 1, outage: NO_OUTAGE };
     const served = shareInTime(runAll({ ...load, knowsGroups: true }));
     assert.ok(served >= 0.9, String(served));
   });
 
   it("serves as many in time through many entries as through a few", () => {
     // Each entry raises its limit in steps. The steps of sixteen entries at
-    // once drive a group past the objective and back, and half as many callers
-    // are served in time.
+    // once drive a group past the objective and back, and only a third as many
+    // callers are served in time.
     const load = {
-      rate: 130,
+      requestsPerSecond: 130,
       slowness: 1,
       outage: NO_OUTAGE,
       knowsGroups: true,
--- a/tests/direct/next-step.test.ts
+++ b/tests/direct/next-step.test.ts
@@ -94,8 +94,8 @@
   describe("of a non-idempotent request", () => {
     it("doesn't resend it after its connection was lost", () => {
       // The runner may have received the request before the connection was
-      // reset, so whether it ran is unknown. Sending it again could place the
-      // order twice.
+      // reset, so whether it ran is unknown. Sending it again could run it
+      // twice.
       assert.is(outcomeOf(broken, historyOf({})), "unknown");
     });
 
@@ -163,8 +163,11 @@
     });
 
     it("is broken off if it can't be resumed", () => {
-      const fixed = { ...resumable, isResumable: false };
-      const history = historyOf({ route: fixed, hasStreamStarted: true });
+      const nonResumable = { ...resumable, isResumable: false };
+      const history = historyOf({
+        route: nonResumable,
+        hasStreamStarted: true,
+      });
       assert.is(outcomeOf(broken, history), "break-off");
     });
 
--- a/tests/direct/request-scheduler.test.ts
+++ b/tests/direct/request-scheduler.test.ts
@@ -20,7 +20,7 @@
 
 const SLOTS = 4;
 function schedulerWith(
-  runners: number,
+  runnerCount: number,
   isSlow: IsSlow = () => false,
   groupOf: GroupOf = () => NO_GROUP,
 ): RequestScheduler {
@@ -33,7 +33,7 @@
     isSlow,
     groupOf,
   });
-  for (let index = 0; index < runners; index += 1) {
+  for (let index = 0; index < runnerCount; index += 1) {
     scheduler.setServer({
       id: `r${index}`,
       service: "model",
@@ -83,8 +83,8 @@
   scheduler: RequestScheduler,
   call: DirectCall,
 ): Promise<AdmitResult> {
-  const entered = await scheduler.admit(call);
-  return entered.caseOf<AdmitResult>({
+  const admission = await scheduler.admit(call);
+  return admission.caseOf<AdmitResult>({
     Left: (refusal) => ({ kind: "refused", refusal }),
     Right: (admitted) => ({ kind: "admitted", admitted }),
   });
@@ -96,14 +96,14 @@
     // response takes 20 ms. Every caller must get a runner or a refusal, and a
     // refusal must say when to retry.
     const scheduler = schedulerWith(3);
-    let most = 0;
+    let maximumRunning = 0;
     let running = 0;
     const results = await Promise.all(
       Array.from({ length: 120 }, async (_, index) => {
         const result = await admit(scheduler, callOf(`c${index}`));
         if (result.kind === "refused") return result;
         running += 1;
-        most = Math.max(most, running);
+        maximumRunning = Math.max(maximumRunning, running);
         await new Promise((resolve) => {
           setTimeout(resolve, 20);
         });
@@ -119,7 +119,7 @@
     assert.ok(
       refused.every(({ refusal }) => refusal.error.entry.outcome === "not-run"),
     );
-    assert.ok(most <= 3 * SLOTS, String(most));
+    assert.ok(maximumRunning <= 3 * SLOTS, String(maximumRunning));
     assert.is(scheduler.waitingCount, 0);
     await scheduler.close();
   });
@@ -132,8 +132,8 @@
   });
 
   it("avoids a slow runner while others have free slots", async () => {
-    // One of three ranks is slow. Requests of its own there would delay all
-    // streams of the group, including those at the other ranks.
+    // One of three ranks is slow. Requests that it runs would delay all streams
+    // of the group, including those at the other ranks.
     const scheduler = schedulerWith(3, (address) => address === "10.0.0.0:80");
     for (let index = 0; index < 4; index += 1) {
       const result = await admit(scheduler, callOf(`c${index}`));
@@ -207,12 +207,14 @@
   it("avoids a full runner for a while", async () => {
     const scheduler = schedulerWith(2);
     const first = await admit(scheduler, callOf("a"));
-    if (first.kind === "refused") throw new TypeError("no place");
+    if (first.kind === "refused")
+      throw new TypeError("the request wasn't admitted");
     const { id } = first.admitted.runner.server;
     scheduler.release(first.admitted, "full");
     scheduler.finish(first.admitted, undefined);
     const second = await admit(scheduler, callOf("b"));
-    if (second.kind === "refused") throw new TypeError("no place");
+    if (second.kind === "refused")
+      throw new TypeError("the request wasn't admitted");
     assert.is.not(second.admitted.runner.server.id, id);
     await scheduler.close();
   });
@@ -253,7 +255,8 @@
     }
 
     function refuse(scheduler: RequestScheduler, result: AdmitResult): void {
-      if (result.kind === "refused") throw new TypeError("no place");
+      if (result.kind === "refused")
+        throw new TypeError("the request wasn't admitted");
       scheduler.release(result.admitted, "full");
       scheduler.finish(result.admitted, undefined);
     }
@@ -296,13 +299,15 @@
         (_, startedAtMs) => startedAtMs === 1000,
       );
       scheduler.setServer(FIRST);
-      const others = await admit(scheduler, callOf("a"));
-      if (others.kind === "refused") throw new TypeError("no place");
-      assert.is.not(others.admitted.runner.server.id, FIRST.id);
+      const beforeRestart = await admit(scheduler, callOf("a"));
+      if (beforeRestart.kind === "refused")
+        throw new TypeError("the request wasn't admitted");
+      assert.is.not(beforeRestart.admitted.runner.server.id, FIRST.id);
       restart(scheduler);
-      const next = await admit(scheduler, callOf("b"));
-      if (next.kind === "refused") throw new TypeError("no place");
-      assert.is(next.admitted.runner.server.startedAtMs, 2000);
+      const afterRestart = await admit(scheduler, callOf("b"));
+      if (afterRestart.kind === "refused")
+        throw new TypeError("the request wasn't admitted");
+      assert.is(afterRestart.admitted.runner.server.startedAtMs, 2000);
       await scheduler.close();
     });
 
--- a/tests/direct/runner-pool.test.ts
+++ b/tests/direct/runner-pool.test.ts
@@ -91,7 +91,7 @@
     const FIRST = { ...SERVER, startedAtMs: 1000 };
     const SAME_ADDRESS = { ...SERVER, startedAtMs: 2000 };
     const MOVED = { ...SAME_ADDRESS, address: "10.0.0.1:80" };
-    const NOTHING = new Set<Runner>();
+    const NO_RUNNERS = new Set<Runner>();
 
     function restart(
       pool: RunnerPool,
@@ -103,7 +103,7 @@
     }
 
     function startAttempt(pool: RunnerPool): Runner {
-      const runner = pool.selectRunner(NOTHING);
+      const runner = pool.selectRunner(NO_RUNNERS);
       assert.ok(runner !== undefined);
       pool.start(runner);
       return runner;
@@ -160,10 +160,10 @@
       for (const verdict of ["failed", "failed", "failed"] as const) {
         pool.release(startAttempt(pool), verdict);
       }
-      assert.is(pool.selectRunner(NOTHING), undefined);
+      assert.is(pool.selectRunner(NO_RUNNERS), undefined);
       restart(pool, SAME_ADDRESS);
       assert.is(connections.opened, 2);
-      assert.ok(pool.selectRunner(NOTHING) !== undefined);
+      assert.ok(pool.selectRunner(NO_RUNNERS) !== undefined);
       assert.is(
         pool.countRunning(() => true),
         0,
@@ -176,7 +176,7 @@
       const late = startAttempt(pool);
       restart(pool, SAME_ADDRESS);
       pool.release(late, "full");
-      assert.ok(pool.selectRunner(NOTHING) !== undefined);
+      assert.ok(pool.selectRunner(NO_RUNNERS) !== undefined);
       assert.is(
         pool.countRunning(() => true),
         0,
