--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -192,12 +192,12 @@
     waitMs: number,
   ): AdmissionDecision | undefined {
     const { account, weight, costTokens } = request;
-    const own = queue.loadIncluding(account, weight, costTokens);
+    const ownLoad = queue.loadIncluding(account, weight, costTokens);
     for (;;) {
-      const room = request.queue.maximumTokens - queue.waitingTokens;
-      if (room >= costTokens) return undefined;
+      const freeTokens = request.queue.maximumTokens - queue.waitingTokens;
+      if (freeTokens >= costTokens) return undefined;
       const heaviest = queue.newestOfHeaviest();
-      if (heaviest === undefined || heaviest.load <= own) {
+      if (heaviest === undefined || heaviest.load <= ownLoad) {
         return this.refuse(request, pool, 1501, waitMs);
       }
       this.refuseWaiting(heaviest.waiting, 1505);
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -149,19 +149,22 @@
     const queue = this.profileOf(request);
     const { account, weight, priority } = request;
     const higher = this.profiles.filter((other) => other.priority < priority);
-    const inFlight = sum(this.profiles, ({ runningTokens }) => runningTokens);
+    const inFlightTokens = sum(
+      this.profiles,
+      ({ runningTokens }) => runningTokens,
+    );
     const higherPriorityTokens = sum(
       higher,
       ({ runningTokens }) => runningTokens,
     );
     const availableTokens = Math.max(
-      inFlight - higherPriorityTokens,
-      LOWER_PRIORITY_SHARE * inFlight,
+      inFlightTokens - higherPriorityTokens,
+      LOWER_PRIORITY_SHARE * inFlightTokens,
     );
     if (availableTokens <= 0) return 0;
     const state = this.accountStateOf(account);
-    const others = this.activeWeight - state.activeWeight;
-    const fairShare = weight / (others + weight);
+    const otherWeight = this.activeWeight - state.activeWeight;
+    const fairShare = weight / (otherWeight + weight);
     const share = Math.max(fairShare, state.runningTokens / availableTokens);
     const tokensAhead =
       sum(higher, ({ waitingTokens }) => waitingTokens) +
@@ -181,9 +184,9 @@
   ): void {
     const state = this.accountStateOf(account);
     state.requests += change;
-    const active = state.requests > 0 ? weight : 0;
-    this.activeWeight += active - state.activeWeight;
-    state.activeWeight = active;
+    const activeWeight = state.requests > 0 ? weight : 0;
+    this.activeWeight += activeWeight - state.activeWeight;
+    state.activeWeight = activeWeight;
   }
 
   private starvedProfile(
--- a/src/admission/profile-queue.ts
+++ b/src/admission/profile-queue.ts
@@ -132,14 +132,15 @@
   /** Newest request of the account with the most waiting tokens per weight. */
   newestOfHeaviest():
     { readonly waiting: QueuedRequest; readonly load: number } | undefined {
-    let most: AccountQueue | undefined;
+    let heaviest: AccountQueue | undefined;
     for (const queue of this.accountQueues.values()) {
       if (queue.tokens === 0) continue;
-      if (most === undefined || loadOf(queue) > loadOf(most)) most = queue;
+      if (heaviest === undefined || loadOf(queue) > loadOf(heaviest))
+        heaviest = queue;
     }
-    const waiting = most?.requests.findLast(({ isRemoved }) => !isRemoved);
-    if (most === undefined || waiting === undefined) return undefined;
-    return { waiting, load: loadOf(most) };
+    const waiting = heaviest?.requests.findLast(({ isRemoved }) => !isRemoved);
+    if (heaviest === undefined || waiting === undefined) return undefined;
+    return { waiting, load: loadOf(heaviest) };
   }
 
   loadIncluding(account: string, weight: number, tokens: number): number {
--- a/src/admission/types.ts
+++ b/src/admission/types.ts
@@ -51,7 +51,10 @@
 export interface RequestCompletion {
   /** Actual tokens of prompt and output; the estimate if they are unknown. */
   readonly costTokens: number;
-  /** Time from sending to the end; undefined if it says nothing of the pool. */
+  /**
+   * Time from sending to the end; undefined if the request wasn't served, as it
+   * then says nothing about the pool.
+   */
   readonly durationMs: number | undefined;
 }
 
--- a/src/balance/balancer.ts
+++ b/src/balance/balancer.ts
@@ -36,14 +36,17 @@
  */
 const FORECAST_LEAD_WINDOWS = 8;
 /** Windows observed before the first decision, to estimate the noise. */
-const MIN_OBSERVED_WINDOWS = 5;
-const REQUEST_SMOOTHING = 0.3;
-/** Slower ranks are reported: no map compensates for much more slowness. */
+const MINIMUM_OBSERVED_WINDOWS = 5;
+const REQUEST_SMOOTHING_FACTOR = 0.3;
+/**
+ * Speed, relative to the median rank, below which a rank is reported as slow:
+ * no map compensates for much lower speeds.
+ */
 const SLOW_RANK_THRESHOLD = 0.85;
 
 export interface DecisionInput {
   readonly map: ExpertMap;
-  /** The map last decided on isn't in force in all ranks yet. */
+  /** The map last decided on isn't in force on all ranks yet. */
   readonly switchPending: boolean;
   readonly costs: MoveCosts;
   readonly skewWeight: number;
@@ -139,7 +142,7 @@
   }
 
   private planFor(decision: DecisionInput): Plan {
-    if (this.forecast.observedWindows < MIN_OBSERVED_WINDOWS) {
+    if (this.forecast.observedWindows < MINIMUM_OBSERVED_WINDOWS) {
       return stay("no-reports");
     }
     if (decision.switchPending) return stay("switch-pending");
@@ -168,8 +171,9 @@
   }
 
   /**
-   * Weighs the predicted saving against the one on recent windows, by the share
-   * of demand that is known to return to earlier levels.
+   * Whether the plan is worthwhile by the mean of its predicted saving and its
+   * saving on recent windows. The latter is weighted by the share of demand that
+   * is known to return to earlier levels.
    */
   private isWorthwhileOnHistory(plan: MovePlan, input: PlanInput): boolean {
     const { map, ranks, confidence } = input;
@@ -199,7 +203,7 @@
     for (const { rank, requestTokens } of reports) {
       const old = this.requestTokens[rank];
       this.requestTokens[rank] =
-        old + REQUEST_SMOOTHING * (requestTokens - old);
+        old + REQUEST_SMOOTHING_FACTOR * (requestTokens - old);
     }
   }
 
--- a/src/balance/expert-map.ts
+++ b/src/balance/expert-map.ts
@@ -23,10 +23,10 @@
  */
 export function createEvenMap(shape: GroupShape): ExpertMap {
   const { ranks, slotsPerRank } = shape;
-  const perLayer = ranks * slotsPerRank;
+  const slotsPerLayer = ranks * slotsPerRank;
   const slots = new Int16Array(slotCount(shape)).fill(EMPTY_SLOT);
-  for (let start = 0; start < slots.length; start += perLayer) {
-    assignRoundRobin(shape, slots.subarray(start, start + perLayer));
+  for (let start = 0; start < slots.length; start += slotsPerLayer) {
+    assignRoundRobin(shape, slots.subarray(start, start + slotsPerLayer));
   }
   return { version: 0, shape, slots };
 }
@@ -58,7 +58,7 @@
 
 /**
  * Checks that every expert of every layer has a slot and that no rank holds an
- * expert twice. Failure 1803 names the layer.
+ * expert twice. Failure 1803 names the layer, or -1 if none is at fault.
  */
 export function checkMap(map: ExpertMap): Either<ApricotdeckError, ExpertMap> {
   const { shape, slots } = map;
@@ -86,7 +86,8 @@
   for (let index = 0; index < ranks * slotsPerRank; index++) {
     const expert = map.slots[start + index];
     if (expert === EMPTY_SLOT) continue;
-    if (!(expert >= 0 && expert < experts)) return `no expert ${expert}`;
+    if (!(expert >= 0 && expert < experts))
+      return `expert ${expert} doesn't exist`;
     const rank = Math.floor(index / slotsPerRank);
     if (lastRank[expert] === rank) return `expert ${expert} twice on one rank`;
     lastRank[expert] = rank;
--- a/src/balance/fixed-time.ts
+++ b/src/balance/fixed-time.ts
@@ -14,19 +14,19 @@
   readonly seconds: number;
 }
 
-const SHARE_SMOOTHING = 0.3;
+const SHARE_SMOOTHING_FACTOR = 0.3;
 /**
  * Pairs of ranks whose work differs by less, relative to the median, are left
  * out: their slope is mostly noise. Where most work is that even, the fixed
  * part hardly matters, as it is alike for all ranks.
  */
-const MIN_RELATIVE_SPREAD = 0.1;
+const MINIMUM_RELATIVE_SPREAD = 0.1;
 /** A smaller share of a step can't be distinguished from noise. */
-const MIN_FIXED_SHARE = 0.05;
-const MAX_FIXED_SHARE = 0.95;
+const MINIMUM_FIXED_SHARE = 0.05;
+const MAXIMUM_FIXED_SHARE = 0.95;
 
 export class FixedTime {
-  private share = 0;
+  private fixedShare = 0;
 
   private constructor() {
     // Instances are made by create().
@@ -37,15 +37,17 @@
   }
 
   /** Updates the estimate with one window of the group. */
-  observe(points: readonly RankSample[]): void {
-    const estimate = estimateFixedShare(points);
+  observe(samples: readonly RankSample[]): void {
+    const estimate = estimateFixedShare(samples);
     if (estimate === undefined) return;
-    this.share += SHARE_SMOOTHING * (estimate - this.share);
+    this.fixedShare += SHARE_SMOOTHING_FACTOR * (estimate - this.fixedShare);
   }
 
   /** Fixed seconds of a window, given the busy seconds of the median rank. */
   fixedSecondsOf(medianSeconds: number): number {
-    return this.share < MIN_FIXED_SHARE ? 0 : this.share * medianSeconds;
+    return this.fixedShare < MINIMUM_FIXED_SHARE
+      ? 0
+      : this.fixedShare * medianSeconds;
   }
 }
 
@@ -54,27 +56,29 @@
  * median slope over all pairs of ranks), which tolerates a quarter of the ranks
  * being slow. Undefined if the work of the ranks differs too little.
  */
-function estimateFixedShare(points: readonly RankSample[]): number | undefined {
-  const medianTokens = medianOf(points.map(({ tokens }) => tokens));
-  const slopes = allPairs(points)
+function estimateFixedShare(
+  samples: readonly RankSample[],
+): number | undefined {
+  const medianTokens = medianOf(samples.map(({ tokens }) => tokens));
+  const slopes = allPairs(samples)
     .filter(
       ([a, b]) =>
-        Math.abs(a.tokens - b.tokens) > MIN_RELATIVE_SPREAD * medianTokens,
+        Math.abs(a.tokens - b.tokens) > MINIMUM_RELATIVE_SPREAD * medianTokens,
     )
     .map(([a, b]) => (a.seconds - b.seconds) / (a.tokens - b.tokens));
-  if (slopes.length < points.length) return undefined;
+  if (slopes.length < samples.length) return undefined;
   const slope = medianOf(slopes);
   const fixed = medianOf(
-    points.map(({ tokens, seconds }) => seconds - slope * tokens),
+    samples.map(({ tokens, seconds }) => seconds - slope * tokens),
   );
-  const medianSeconds = medianOf(points.map(({ seconds }) => seconds));
-  return Math.min(Math.max(fixed / medianSeconds, 0), MAX_FIXED_SHARE);
+  const medianSeconds = medianOf(samples.map(({ seconds }) => seconds));
+  return Math.min(Math.max(fixed / medianSeconds, 0), MAXIMUM_FIXED_SHARE);
 }
 
 function allPairs(
-  points: readonly RankSample[],
+  samples: readonly RankSample[],
 ): (readonly [RankSample, RankSample])[] {
-  return points.flatMap((first, index) =>
-    points.slice(index + 1).map((second) => [first, second] as const),
+  return samples.flatMap((first, index) =>
+    samples.slice(index + 1).map((second) => [first, second] as const),
   );
 }
--- a/src/balance/forecast-accuracy.ts
+++ b/src/balance/forecast-accuracy.ts
@@ -7,7 +7,10 @@
 export const CHECK_LEAD_WINDOWS = 8;
 const CHECK_INTERVAL_WINDOWS = 2;
 const ERROR_DECAY = 0.9;
-/** Relative squared error below which two forecasts count as equal. */
+/**
+ * Added to each relative squared error, so that forecasts whose errors are far
+ * below it get nearly equal weights.
+ */
 const ERROR_FLOOR = 1e-5;
 
 interface Snapshot {
--- a/src/balance/jump-detector.ts
+++ b/src/balance/jump-detector.ts
@@ -8,32 +8,36 @@
  * cooldown before the next one is accepted.
  */
 
-/** Minimum root mean square change of the tokens, relative to their mean. */
-const MIN_RELATIVE_CHANGE = 0.15;
+/** Minimum change of the tokens relative to the means, as root mean squares. */
+const MINIMUM_RELATIVE_CHANGE = 0.15;
 /** Minimum squared change relative to noise; 1 is noise alone. */
-const MIN_NOISE_RATIO = 4;
+const MINIMUM_NOISE_RATIO = 4;
 /** Consecutive windows required: one may be a burst of a single caller. */
-const MIN_CONSECUTIVE_WINDOWS = 2;
-/** Initial cooldown after an accepted jump. */
+const MINIMUM_CONSECUTIVE_WINDOWS = 2;
+/** Cooldown of a layer before its first jump and after a reset. */
 const INITIAL_COOLDOWN_WINDOWS = 24;
-/** A layer without jumps for this multiple of its cooldown resets it. */
+/** The cooldown is reset after this multiple of it without accepted jumps. */
 const COOLDOWN_RESET_FACTOR = 4;
 
-/** Deviation of one window of a layer from its mean. */
+/**
+ * Deviation of a layer's tokens in one window from their means, as sums over
+ * its experts.
+ */
 export interface LayerDeviation {
   readonly squaredChange: number;
+  /** Sum of the squared means. */
   readonly squaredLevel: number;
   /** Expected squaredChange from noise alone. */
   readonly noise: number;
 }
 
 export class JumpDetector {
-  private readonly streak: Int32Array;
+  private readonly consecutiveWindows: Int32Array;
   private readonly windowsSinceJump: Int32Array;
   private readonly cooldown: Int32Array;
 
   private constructor(layers: number) {
-    this.streak = new Int32Array(layers);
+    this.consecutiveWindows = new Int32Array(layers);
     this.windowsSinceJump = new Int32Array(layers).fill(
       INITIAL_COOLDOWN_WINDOWS,
     );
@@ -47,9 +51,12 @@
   /** Processes a window of a layer; true if its demand has jumped. */
   observe(layer: number, deviation: LayerDeviation): boolean {
     this.windowsSinceJump[layer]++;
-    this.streak[layer] = exceedsNoise(deviation) ? this.streak[layer] + 1 : 0;
-    if (this.streak[layer] < MIN_CONSECUTIVE_WINDOWS) return false;
-    this.streak[layer] = 0;
+    this.consecutiveWindows[layer] = exceedsNoise(deviation)
+      ? this.consecutiveWindows[layer] + 1
+      : 0;
+    if (this.consecutiveWindows[layer] < MINIMUM_CONSECUTIVE_WINDOWS)
+      return false;
+    this.consecutiveWindows[layer] = 0;
     return true;
   }
 
@@ -68,7 +75,7 @@
 function exceedsNoise(deviation: LayerDeviation): boolean {
   const { squaredChange, squaredLevel, noise } = deviation;
   return (
-    squaredChange > MIN_RELATIVE_CHANGE ** 2 * squaredLevel &&
-    squaredChange > MIN_NOISE_RATIO * noise
+    squaredChange > MINIMUM_RELATIVE_CHANGE ** 2 * squaredLevel &&
+    squaredChange > MINIMUM_NOISE_RATIO * noise
   );
 }
--- a/src/balance/layer-search.ts
+++ b/src/balance/layer-search.ts
@@ -11,7 +11,7 @@
 import { EMPTY_SLOT, type GroupShape } from "./types.js";
 
 /** Smallest gain, relative to the layer's time, that is worth a fetch. */
-const MIN_RELATIVE_GAIN = 1e-4;
+const MINIMUM_RELATIVE_GAIN = 1e-4;
 
 const NO_SWAP = -1;
 
@@ -105,7 +105,7 @@
     return this.times[this.slowestRank()];
   }
 
-  /** Standard deviation of the slowest rank's time, from that of the tokens. */
+  /** Standard deviation of the slowest rank's time, from the tokens' variance. */
   slowestDeviation(variance: ArrayLike<number>): number {
     const slowest = this.slowestRank();
     const start = slowest * this.shape.slotsPerRank;
@@ -151,7 +151,7 @@
     const slowest = this.slowestRank();
     const start = slowest * this.shape.slotsPerRank;
     this.best = undefined;
-    this.bestGain = this.times[slowest] * MIN_RELATIVE_GAIN;
+    this.bestGain = this.times[slowest] * MINIMUM_RELATIVE_GAIN;
     for (let slot = start; slot < start + this.shape.slotsPerRank; slot++) {
       const expert = this.slots[slot];
       if (expert === EMPTY_SLOT) continue;
@@ -317,18 +317,18 @@
     this.addExpertWork(added, 1);
   }
 
-  private swap(one: number, two: number): void {
-    const expertOne = this.slots[one];
-    const expertTwo = this.slots[two];
-    const work = this.shares[expertOne] - this.shares[expertTwo];
-    const rankOne = this.rankOfSlot[one];
-    const rankTwo = this.rankOfSlot[two];
-    this.times[rankOne] -= work * this.slowness[rankOne];
-    this.times[rankTwo] += work * this.slowness[rankTwo];
-    this.removeExpert(one);
-    this.removeExpert(two);
-    this.placeExpert(one, expertTwo);
-    this.placeExpert(two, expertOne);
+  private swap(firstSlot: number, secondSlot: number): void {
+    const firstExpert = this.slots[firstSlot];
+    const secondExpert = this.slots[secondSlot];
+    const work = this.shares[firstExpert] - this.shares[secondExpert];
+    const firstRank = this.rankOfSlot[firstSlot];
+    const secondRank = this.rankOfSlot[secondSlot];
+    this.times[firstRank] -= work * this.slowness[firstRank];
+    this.times[secondRank] += work * this.slowness[secondRank];
+    this.removeExpert(firstSlot);
+    this.removeExpert(secondSlot);
+    this.placeExpert(firstSlot, secondExpert);
+    this.placeExpert(secondSlot, firstExpert);
   }
 
   /** Adds (1) or subtracts (-1) an expert's work on all ranks that hold it. */
--- a/src/balance/layers.ts
+++ b/src/balance/layers.ts
@@ -13,10 +13,10 @@
 
 /** Returns a copy of a layer's slots. */
 export function layerSlots(map: ExpertMap, layer: number): Int16Array {
-  const perLayer = map.shape.ranks * map.shape.slotsPerRank;
+  const slotsPerLayer = map.shape.ranks * map.shape.slotsPerRank;
   const start = layerStart(map.shape, layer);
-  const slots = new Int16Array(perLayer);
-  for (let slot = 0; slot < perLayer; slot++) {
+  const slots = new Int16Array(slotsPerLayer);
+  for (let slot = 0; slot < slotsPerLayer; slot++) {
     slots[slot] = map.slots[start + slot];
   }
   return slots;
--- a/src/balance/load-forecast.ts
+++ b/src/balance/load-forecast.ts
@@ -14,9 +14,9 @@
 import {
   blendForecasts,
   blendVariance,
-  FAST_SMOOTHING,
+  FAST_SMOOTHING_FACTOR,
   gainAt,
-  SLOW_SMOOTHING,
+  SLOW_SMOOTHING_FACTOR,
   extrapolateTrend,
 } from "./smoothing.js";
 import type { GroupShape, LoadPrediction } from "./types.js";
@@ -24,21 +24,24 @@
 /** Marks an expert that no report covers. */
 export const UNKNOWN_TOKENS = -1;
 
-const NOISE_SMOOTHING = 0.1;
+const NOISE_SMOOTHING_FACTOR = 0.1;
 /**
  * Squared changes are clipped at this multiple of the expected variance (three
  * standard deviations): a greater one is a change of demand, which must not
  * raise the noise estimate and hide real differences from the planner.
  */
 const NOISE_CLIP_RATIO = 9;
-/** Token counts come in whole requests, so they vary at least like Poisson. */
-const MIN_DISPERSION = 1;
+/**
+ * Token counts come in whole requests, so their variance is at least that of a
+ * Poisson distribution, which equals the mean.
+ */
+const MINIMUM_DISPERSION = 1;
 
 const FORECAST_COUNT = 3;
 /** Windows for which a return to earlier demand counts as oscillation. */
 const RETURN_MEMORY_WINDOWS = 48;
-/** Age from which the slow mean is smoothed by SLOW_SMOOTHING. */
-const SETTLED_AGE = Math.round(1 / SLOW_SMOOTHING);
+/** Age from which the slow mean is smoothed by SLOW_SMOOTHING_FACTOR. */
+const SETTLED_AGE_WINDOWS = Math.round(1 / SLOW_SMOOTHING_FACTOR);
 
 export class LoadForecast {
   private readonly previous: Float64Array;
@@ -67,7 +70,7 @@
     this.reported = new Uint8Array(size);
     this.fast = new Float64Array(size);
     this.slow = new Float64Array(size);
-    this.dispersion = new Float64Array(shape.layers).fill(MIN_DISPERSION);
+    this.dispersion = new Float64Array(shape.layers).fill(MINIMUM_DISPERSION);
     this.scale = new Float64Array(shape.layers).fill(1);
     this.age = new Int32Array(shape.layers);
     this.jumpDetector = JumpDetector.create(shape.layers);
@@ -108,11 +111,11 @@
     if (this.windows === 0) this.initializeMeans(tokens);
     else this.update(tokens);
     this.windows++;
-    this.accuracy.advance(this.fast, (lead) => [
+    this.accuracy.advance(this.fast, (leadWindows) => [
       this.fast.slice(),
       this.slow.slice(),
       this.fast.map((fast, index) =>
-        extrapolateTrend(fast, this.slow[index], lead),
+        extrapolateTrend(fast, this.slow[index], leadWindows),
       ),
     ]);
   }
@@ -216,8 +219,8 @@
         this.restartLayer(layer, tokens, ratio);
       }
     }
-    const fastGain = gainAt(this.age[layer], FAST_SMOOTHING);
-    const slowGain = gainAt(this.age[layer], SLOW_SMOOTHING);
+    const fastGain = gainAt(this.age[layer], FAST_SMOOTHING_FACTOR);
+    const slowGain = gainAt(this.age[layer], SLOW_SMOOTHING_FACTOR);
     // There is no noise estimate yet to clip the first difference by.
     const clip =
       this.windows > 1 ? NOISE_CLIP_RATIO * this.dispersion[layer] : Infinity;
@@ -241,13 +244,13 @@
       this.slow[index] += slowGain * (value - this.slow[index]);
     }
     this.age[layer]++;
-    this.scale[layer] += FAST_SMOOTHING * (ratio - this.scale[layer]);
+    this.scale[layer] += FAST_SMOOTHING_FACTOR * (ratio - this.scale[layer]);
     // There is one difference fewer than windows.
-    const noiseGain = Math.max(NOISE_SMOOTHING, 1 / this.windows);
+    const noiseGain = Math.max(NOISE_SMOOTHING_FACTOR, 1 / this.windows);
     if (known === 0) return;
     const step = noiseGain * (noise / known - this.dispersion[layer]);
     const next = this.dispersion[layer] + step;
-    this.dispersion[layer] = Math.max(next, MIN_DISPERSION);
+    this.dispersion[layer] = Math.max(next, MINIMUM_DISPERSION);
   }
 
   private deviationOf(
@@ -310,7 +313,7 @@
     for (let index = layer * experts; index < (layer + 1) * experts; index++) {
       this.slow[index] = (this.fast[index] + this.beforeLastJump[index]) / 2;
     }
-    this.age[layer] = SETTLED_AGE;
+    this.age[layer] = SETTLED_AGE_WINDOWS;
     this.lastReturn[layer] = this.windows;
   }
 }
--- a/src/balance/load-history.ts
+++ b/src/balance/load-history.ts
@@ -8,7 +8,7 @@
 import type { ExpertMap, RankState } from "./types.js";
 
 /** Every second window of the last 24 (four minutes at ten seconds each). */
-const MAX_SAMPLES = 12;
+const MAXIMUM_SAMPLES = 12;
 const SAMPLE_INTERVAL_WINDOWS = 2;
 
 export class LoadHistory {
@@ -26,7 +26,7 @@
   observe(tokens: ArrayLike<number>): void {
     this.windows++;
     if (this.windows % SAMPLE_INTERVAL_WINDOWS !== 0) return;
-    this.samples = [...this.samples, tokens].slice(-MAX_SAMPLES);
+    this.samples = [...this.samples, tokens].slice(-MAXIMUM_SAMPLES);
   }
 
   /** Mean share of step time the new map would have saved on this history. */
--- a/src/balance/plan-accuracy.ts
+++ b/src/balance/plan-accuracy.ts
@@ -16,10 +16,10 @@
  * transfer and agreement take one to two windows.
  */
 const ACTIVATION_DELAY_WINDOWS = 3;
-/** Windows compared: long enough to cover an oscillation of some minutes. */
+/** Windows compared: two minutes, long enough to cover an oscillation. */
 const EVALUATION_WINDOWS = 12;
-/** Weight of the newest evaluation; three failed ones leave an eighth. */
-const CONFIDENCE_SMOOTHING = 0.5;
+/** Weight of the newest evaluation; three failures cut confidence to 1/8. */
+const CONFIDENCE_SMOOTHING_FACTOR = 0.5;
 
 interface Evaluation {
   readonly from: ExpertMap;
@@ -83,7 +83,7 @@
       evaluation.savedShare / EVALUATION_WINDOWS / evaluation.predictedShare;
     const share = Math.min(Math.max(realized, 0), 1);
     this.currentConfidence +=
-      CONFIDENCE_SMOOTHING * (share - this.currentConfidence);
+      CONFIDENCE_SMOOTHING_FACTOR * (share - this.currentConfidence);
     this.evaluation = undefined;
   }
 }
--- a/src/balance/planner.ts
+++ b/src/balance/planner.ts
@@ -34,10 +34,13 @@
   readonly transferSeconds: number;
   /** Maximum changes per layer in one plan; bounds the planning time. */
   readonly stepsPerLayer: number;
-  /** A layer is balanced if its slowest rank exceeds the mean by less. */
+  /**
+   * A layer is balanced if its slowest rank's time exceeds the time with work
+   * spread perfectly by at most this share.
+   */
   readonly toleratedExcess: number;
   /** Smallest share of the step time that a plan must save. */
-  readonly minSavedShare: number;
+  readonly minimumSavedShare: number;
 }
 
 export const DEFAULT_PLANNER_LIMITS: PlannerLimits = {
@@ -45,7 +48,7 @@
   transferSeconds: 9,
   stepsPerLayer: 16,
   toleratedExcess: 0.015,
-  minSavedShare: 0.002,
+  minimumSavedShare: 0.002,
 };
 
 /**
@@ -76,6 +79,7 @@
 /** The sequence of changes that the search found for one layer. */
 interface LayerChanges {
   readonly layer: number;
+  /** Slowest rank's time before the changes. */
   readonly before: number;
   /** Largest gain that noise alone could produce. */
   readonly noise: number;
@@ -87,7 +91,9 @@
   readonly layer: number;
   readonly steps: readonly SearchStep[];
   readonly fetches: number;
+  /** Seconds saved over the horizon. */
   readonly saved: number;
+  /** Weighted saving less the weighted cost, in seconds. */
   readonly value: number;
 }
 
@@ -105,7 +111,7 @@
   readonly confidence: number;
 }
 
-/** Order in which layer reasons become the reason of the whole plan. */
+/** The first of these that applies to a layer becomes the plan's reason. */
 const STAY_REASON_PRIORITY: readonly StayReason[] = [
   "not-worth-cost",
   "no-better-map",
@@ -363,8 +369,8 @@
   storeSeconds: number,
 ): boolean {
   const value = netValue(skewWeight, savedSeconds, storeSeconds);
-  const minSaved = limits.minSavedShare * limits.horizonSeconds;
-  return savedSeconds > minSaved && value > skewWeight * costs.switchSeconds;
+  const minimum = limits.minimumSavedShare * limits.horizonSeconds;
+  return savedSeconds > minimum && value > skewWeight * costs.switchSeconds;
 }
 
 function byValuePerFetch(
--- a/src/balance/rank-reports.ts
+++ b/src/balance/rank-reports.ts
@@ -56,7 +56,7 @@
   }
 }
 
-const SPEED_SMOOTHING = 0.3;
+const SPEED_SMOOTHING_FACTOR = 0.3;
 /**
  * Speeds this close to the median count as equal: timers and clock rates of
  * healthy accelerators differ by about as much, and reacting to that would move
@@ -64,15 +64,16 @@
  */
 const SPEED_TOLERANCE = 0.05;
 /** Minimum share of busy time attributed to tokens; less would be noise. */
-const MIN_TIME_SHARE = 0.05;
-const MIN_SPEED = 0.05;
-const MAX_SPEED = 2;
+const TOKEN_SHARE_FLOOR = 0.05;
+/** Bounds on a rank's speed; 1 is the median rank. */
+const MINIMUM_SPEED = 0.05;
+const MAXIMUM_SPEED = 2;
 
 /** Estimates each rank's speed from its reports; 1 is the median rank. */
 export class RankSpeeds {
   private readonly estimates: Float64Array;
   private readonly fixedTime = FixedTime.create();
-  private fixedWork = 0;
+  private currentFixedTokens = 0;
 
   private constructor(shape: GroupShape) {
     this.estimates = new Float64Array(shape.ranks).fill(1);
@@ -84,7 +85,7 @@
 
   /** Tokens that the median rank could process in the fixed part of a step. */
   get fixedTokens(): number {
-    return this.fixedWork;
+    return this.currentFixedTokens;
   }
 
   /** Updates the speeds; a rank without a report or work keeps its estimate. */
@@ -97,11 +98,11 @@
     const rates = samples.map((sample) => tokenRate(sample, fixedSeconds));
     const medianRate = medianOf(rates);
     if (medianRate === 0) return;
-    this.fixedWork = fixedSeconds * medianRate;
+    this.currentFixedTokens = fixedSeconds * medianRate;
     measured.forEach(({ rank }, index) => {
       const speed = clampSpeed(rates[index] / medianRate);
       const old = this.estimates[rank];
-      this.estimates[rank] = old + SPEED_SMOOTHING * (speed - old);
+      this.estimates[rank] = old + SPEED_SMOOTHING_FACTOR * (speed - old);
     });
   }
 
@@ -123,9 +124,9 @@
   { tokens, seconds }: RankSample,
   fixedSeconds: number,
 ): number {
-  return tokens / Math.max(seconds - fixedSeconds, MIN_TIME_SHARE * seconds);
+  return tokens / Math.max(seconds - fixedSeconds, TOKEN_SHARE_FLOOR * seconds);
 }
 
 function clampSpeed(speed: number): number {
-  return Math.min(Math.max(speed, MIN_SPEED), MAX_SPEED);
+  return Math.min(Math.max(speed, MINIMUM_SPEED), MAXIMUM_SPEED);
 }
--- a/src/balance/repack.ts
+++ b/src/balance/repack.ts
@@ -19,13 +19,16 @@
 ): ExpertMap {
   const { shape } = map;
   const slots = new Int16Array(slotCount(shape)).fill(EMPTY_SLOT);
-  const perLayer = shape.ranks * shape.slotsPerRank;
+  const slotsPerLayer = shape.ranks * shape.slotsPerRank;
   const layerTokens = new Float64Array(shape.experts);
   for (let layer = 0; layer < shape.layers; layer++) {
     for (let expert = 0; expert < shape.experts; expert++) {
       layerTokens[expert] = tokens[layer * shape.experts + expert];
     }
-    const layerSlots = slots.subarray(layer * perLayer, (layer + 1) * perLayer);
+    const layerSlots = slots.subarray(
+      layer * slotsPerLayer,
+      (layer + 1) * slotsPerLayer,
+    );
     packLayer(shape, layerTokens, state, layerSlots);
   }
   alignSlots(shape, map.slots, slots);
@@ -40,22 +43,22 @@
   const { ranks, experts, slotsPerRank } = shape;
   const replicas = new Int16Array(experts).fill(1);
   for (let spare = ranks * slotsPerRank - experts; spare > 0; spare--) {
-    const hottest = hottestShare(layerTokens, replicas, ranks);
+    const hottest = hottestExpert(layerTokens, replicas, ranks);
     if (hottest < 0) break;
     replicas[hottest]++;
   }
   return replicas;
 }
 
-function hottestShare(
+function hottestExpert(
   layerTokens: Float64Array,
   replicas: Int16Array,
-  limit: number,
+  maximumReplicas: number,
 ): number {
   let best = -1;
   let bestShare = -1;
   for (let expert = 0; expert < replicas.length; expert++) {
-    if (replicas[expert] >= limit) continue;
+    if (replicas[expert] >= maximumReplicas) continue;
     const share = layerTokens[expert] / replicas[expert];
     if (share <= bestShare) continue;
     best = expert;
@@ -79,7 +82,15 @@
   );
   for (const expert of heaviestFirst(layerTokens, replicas)) {
     const share = layerTokens[expert] / replicas[expert];
-    const rank = leastLoaded(shape, slots, used, work, state, expert, share);
+    const rank = leastLoadedRank(
+      shape,
+      slots,
+      used,
+      work,
+      state,
+      expert,
+      share,
+    );
     // Every rank with a free slot already holds the expert: skip the replica.
     if (rank < 0) continue;
     slots[rank * slotsPerRank + used[rank]] = expert;
@@ -100,7 +111,7 @@
   );
 }
 
-function leastLoaded(
+function leastLoadedRank(
   shape: GroupShape,
   slots: Int16Array,
   used: Int16Array,
--- a/src/balance/request-shares.ts
+++ b/src/balance/request-shares.ts
@@ -1,12 +1,15 @@
 /**
- * Distributes request work over the ranks of a group so that request work and
- * expert work together are balanced, and placement within the group and the
- * planner use the same load. Water-filling: the ranks with the least expert
- * time are filled first, up to a common time.
+ * Distributes request work over the ranks of a group so that expert work and
+ * request work together are balanced. Placement within the group and the
+ * planner thus assume the same load. Water-filling: the ranks with the least
+ * expert time are filled first, up to a common time.
  */
+
+/** Expert work and speed of each rank, before requests are distributed. */
 export interface RankWork {
   /** Expert work of each rank per window, in tokens. */
   readonly expertTokens: ArrayLike<number>;
+  /** Speed of each rank; 1 is the group's median. */
   readonly speeds: ArrayLike<number>;
 }
 
--- a/src/balance/smoothing.ts
+++ b/src/balance/smoothing.ts
@@ -5,17 +5,17 @@
  * about 3 windows; the slow mean averages over 25, longer than oscillations
  * that a map can't follow (transfer and switch take about 3 windows).
  */
-export const FAST_SMOOTHING = 0.3;
-export const SLOW_SMOOTHING = 0.04;
+export const FAST_SMOOTHING_FACTOR = 0.3;
+export const SLOW_SMOOTHING_FACTOR = 0.04;
 /** Lag of an exponential mean behind a steady slope, in windows. */
-const FAST_LAG_WINDOWS = (1 - FAST_SMOOTHING) / FAST_SMOOTHING;
-const SLOW_LAG_WINDOWS = (1 - SLOW_SMOOTHING) / SLOW_SMOOTHING;
+const FAST_LAG_WINDOWS = (1 - FAST_SMOOTHING_FACTOR) / FAST_SMOOTHING_FACTOR;
+const SLOW_LAG_WINDOWS = (1 - SLOW_SMOOTHING_FACTOR) / SLOW_SMOOTHING_FACTOR;
 /** The trend can at most halve or double the fast mean. */
 const TREND_LIMIT = 2;
 
 /** Weight of the next value; early values are all weighted equally. */
-export function gainAt(age: number, smoothing: number): number {
-  return Math.max(smoothing, 1 / (age + 1));
+export function gainAt(age: number, smoothingFactor: number): number {
+  return Math.max(smoothingFactor, 1 / (age + 1));
 }
 
 /** Extrapolates the fast mean by the slope derived from both means. */
@@ -54,8 +54,14 @@
   leadWindows: number,
 ): number {
   const ageVariance = 1 / Math.max(age, 1);
-  const fast = Math.max(FAST_SMOOTHING / (2 - FAST_SMOOTHING), ageVariance);
-  const slow = Math.max(SLOW_SMOOTHING / (2 - SLOW_SMOOTHING), ageVariance);
+  const fast = Math.max(
+    FAST_SMOOTHING_FACTOR / (2 - FAST_SMOOTHING_FACTOR),
+    ageVariance,
+  );
+  const slow = Math.max(
+    SLOW_SMOOTHING_FACTOR / (2 - SLOW_SMOOTHING_FACTOR),
+    ageVariance,
+  );
   const extrapolation =
     (FAST_LAG_WINDOWS + leadWindows) / (SLOW_LAG_WINDOWS - FAST_LAG_WINDOWS);
   const trend = (1 + extrapolation) ** 2 * fast + extrapolation ** 2 * slow;
--- a/src/balance/window-assembly.ts
+++ b/src/balance/window-assembly.ts
@@ -5,7 +5,7 @@
 import type { RankReport } from "./types.js";
 
 /** More open windows mean that a rank runs far ahead of the others. */
-const MAX_OPEN_WINDOWS = 8;
+const MAXIMUM_OPEN_WINDOWS = 8;
 
 export class WindowAssembly {
   private readonly open = new Map<number, Map<number, RankReport>>();
@@ -27,7 +27,7 @@
     return this.removeReady();
   }
 
-  /** Clears all state after the group formed again and restarted numbering. */
+  /** Clears all state; a group that forms again restarts its window numbers. */
   reset(): void {
     this.open.clear();
     this.lastWindow = -1;
@@ -50,10 +50,11 @@
    * without data for as long as one rank is silent.
    */
   private isReady(window: number): boolean {
-    const count = (of: number): number => this.open.get(of)?.size ?? 0;
+    const count = (openWindow: number): number =>
+      this.open.get(openWindow)?.size ?? 0;
     if (count(window) >= this.ranks) return true;
     if (2 * count(window + 1) >= this.ranks) return true;
-    return this.open.size > MAX_OPEN_WINDOWS;
+    return this.open.size > MAXIMUM_OPEN_WINDOWS;
   }
 
   private removeWindow(window: number): readonly RankReport[] {
--- a/src/balance/window-collector.ts
+++ b/src/balance/window-collector.ts
@@ -26,8 +26,8 @@
   readonly windowSteps: number;
   /** Steps after the end of a window during which late reports still count. */
   readonly lateSteps: number;
-  /** Smallest share of its steps that must be known to report a window. */
-  readonly minStepShare: number;
+  /** A window with a smaller share of its steps counted isn't reported. */
+  readonly minimumStepShare: number;
 }
 
 /**
@@ -37,7 +37,7 @@
 export const DEFAULT_WINDOW_SETTINGS: WindowSettings = {
   windowSteps: 2000,
   lateSteps: 100,
-  minStepShare: 0.25,
+  minimumStepShare: 0.25,
 };
 
 interface OpenWindow {
@@ -81,7 +81,7 @@
     return this.closeFinished(step);
   }
 
-  /** Clears all state after the group formed again and restarted numbering. */
+  /** Clears all state; a group that forms again restarts its step numbers. */
   reset(): void {
     this.open.clear();
     this.lastClosedWindow.clear();
@@ -138,8 +138,8 @@
 
   /** Scales the sums up to account for steps whose reports were lost. */
   private reportOf(rank: number, open: OpenWindow): RankReport[] {
-    const { windowSteps, minStepShare: leastShare } = this.settings;
-    if (open.steps.size < windowSteps * leastShare) return [];
+    const { windowSteps, minimumStepShare } = this.settings;
+    if (open.steps.size < windowSteps * minimumStepShare) return [];
     const scale = windowSteps / open.steps.size;
     return [
       {
@@ -167,22 +167,23 @@
     for (let position = 0; position < slotsPerRank; position += 1) {
       const expert = map.slots[start + position];
       if (expert === EMPTY_SLOT) continue;
-      const copies = countSlotsOf(map, start, shape, expert);
-      tokens[layer * slotsPerRank + position] += (row[expert] ?? 0) / copies;
+      const replicasOnRank = countReplicasOnRank(map, start, shape, expert);
+      tokens[layer * slotsPerRank + position] +=
+        (row[expert] ?? 0) / replicasOnRank;
     }
   }
 }
 
 /** Several slots of one rank may hold an expert; they share its tokens. */
-function countSlotsOf(
+function countReplicasOnRank(
   map: ExpertMap,
   start: number,
   { slotsPerRank }: GroupShape,
   expert: number,
 ): number {
-  let copies = 0;
+  let replicasOnRank = 0;
   for (let position = 0; position < slotsPerRank; position += 1) {
-    if (map.slots[start + position] === expert) copies += 1;
+    if (map.slots[start + position] === expert) replicasOnRank += 1;
   }
-  return copies;
+  return replicasOnRank;
 }
--- a/src/placement/prefix-index.ts
+++ b/src/placement/prefix-index.ts
@@ -10,7 +10,7 @@
 
 /** Bounds memory; docs/measurements/decisions.md has the bytes per prefix. */
 const MAXIMUM_PREFIXES = 100_000;
-/** Holders kept per prefix; more don't improve the choice of a free one. */
+/** Holders kept per prefix; more don't help to find one with room. */
 const MAXIMUM_HOLDERS = 6;
 /** Blocks looked up per request; later blocks of a prompt are ignored. */
 const MAXIMUM_BLOCKS = 32;
--- a/src/routing/newest-configuration.ts
+++ b/src/routing/newest-configuration.ts
@@ -20,7 +20,7 @@
   readonly value: Buffer;
 }
 
-/** Stream name under which findings on configurations are reported. */
+/** Name of the stream of configurations, in the log and in events. */
 export const CONFIGURATION_STREAM = "configuration";
 
 /** Returns undefined if no configuration can be read. Doesn't throw. */
--- a/tests/balance/windows.test.ts
+++ b/tests/balance/windows.test.ts
@@ -11,7 +11,7 @@
 
 const shape = { ranks: 2, layers: 1, experts: 2, slotsPerRank: 1 };
 const map: ExpertMap = { ...createEvenMap(shape), version: 7 };
-const settings = { windowSteps: 10, lateSteps: 2, minStepShare: 0.25 };
+const settings = { windowSteps: 10, lateSteps: 2, minimumStepShare: 0.25 };
 
 function stepOf(rank: number, step: number, version = 7): RankStep {
   const counts = [[rank === 0 ? 5 : 0, rank === 1 ? 3 : 0]];
