--- a/fuzz/expertmap-simulation.ts
+++ b/fuzz/expertmap-simulation.ts
@@ -229,7 +229,9 @@
     }
   }
 
-  /** Once no engine remembers a map, the group may restart from the initial one. */
+  /**
+   * Once no engine remembers a map, the group may restart from the initial one.
+   */
   private resetCommittedVersion(): void {
     const states = this.engineStates();
     if (states.every(({ group }) => group === null)) this.committedVersion = 0;
--- a/src/expertmap/agent.ts
+++ b/src/expertmap/agent.ts
@@ -46,7 +46,7 @@
   readonly fetch: FetchSettings;
   readonly emit: Emit;
   readonly random: Random;
-  /** Interval between reads while no change of the engine's state is pending. */
+  /** Interval between engine reads while no vote or formation is pending. */
   readonly idleReadMs: number;
   readonly safeguards: SwitchSafeguards & { readonly mayGoForward: boolean };
 }
--- a/src/expertmap/formation.ts
+++ b/src/expertmap/formation.ts
@@ -25,7 +25,6 @@
   type UnableMessage,
 } from "../internal.js";
 
-/** A map and its version. */
 export interface VersionedMap {
   readonly version: number;
   readonly map: ExpertMap;
@@ -93,9 +92,14 @@
   sendAt: number;
 }
 
-/** Another agent's formation counts as ended after this time without a message. */
+/**
+ * Another agent's formation counts as ended after this time without a message.
+ */
 const FORMATION_QUIET_MS = 500;
-/** Staggers the starts of the members' formations so that usually one runs. */
+/**
+ * Staggers the starts of the members' formations so that usually only one
+ * runs.
+ */
 const STAGGER_MS = 200;
 const RESEND_INTERVAL_MS = 100;
 /**
@@ -138,7 +142,7 @@
     this.phase = undefined;
   }
 
-  /** Sets the map, normally the recorded one, for when no engine has one. */
+  /** Sets the map to use when no engine has one; normally the recorded map. */
   setInitial(initial: VersionedMap): void {
     this.initial = initial;
   }
--- a/src/expertmap/map.ts
+++ b/src/expertmap/map.ts
@@ -7,11 +7,13 @@
   type ExpertWeightId,
 } from "../internal.js";
 
-const HASH_LENGTH = 16;
+const HASH_HEX_DIGITS = 16;
 
 const hashCache = new WeakMap<ExpertMap, string>();
 
-/** Content hash of a map; cached because hashing a large map takes milliseconds. */
+/**
+ * Content hash of a map; cached because hashing a large map takes milliseconds.
+ */
 export function hashExpertMap(map: ExpertMap): string {
   const cached = hashCache.get(map);
   if (cached !== undefined) return cached;
@@ -19,7 +21,7 @@
   const shape = [layers, ranks, experts, slotsPerRank];
   const numbers = Int32Array.from([...shape, ...Array.from(map.slots)]);
   const digest = createHash("sha256").update(numbers).digest("hex");
-  const hash = digest.slice(0, HASH_LENGTH);
+  const hash = digest.slice(0, HASH_HEX_DIGITS);
   hashCache.set(map, hash);
   return hash;
 }
--- a/src/expertmap/membership.ts
+++ b/src/expertmap/membership.ts
@@ -18,7 +18,7 @@
  */
 export function chooseMembers(
   candidates: readonly MemberCandidate[],
-  ranks: number,
+  rankCount: number,
   currentMembers: readonly GroupMember[],
 ): readonly GroupMember[] | undefined {
   const isCurrentMember = (name: string): boolean =>
@@ -38,7 +38,7 @@
     for (const rank of offered) takenRanks.add(rank);
     chosen.push({ member, ranks: offered });
   }
-  const allRanks = Array.from({ length: ranks }, (_, rank) => rank);
+  const allRanks = Array.from({ length: rankCount }, (_, rank) => rank);
   if (!allRanks.every((rank) => takenRanks.has(rank))) return undefined;
   return chosen.sort((a, b) => (a.member < b.member ? -1 : 1));
 }
--- a/src/expertmap/staging.ts
+++ b/src/expertmap/staging.ts
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Accepts a join request; false when the engine isn't sealed to the formation.
-   * An engine that restarted after it was sealed must not join, because it may
-   * already have stepped in this incarnation.
+   * Accepts a join request; false when the engine isn't sealed to the
+   * formation. An engine that restarted after it was sealed must not join,
+   * because it may already have stepped in this incarnation.
    */
   join(message: JoinMessage, state: EngineMapState): boolean {
     const isSealed = sameBallot(state.sealed, message.formation);
--- a/src/expertmap/step-checker.ts
+++ b/src/expertmap/step-checker.ts
@@ -20,7 +20,9 @@
   readonly mapHash: string;
 }
 
-/** Reports are at most seconds late, which spans far fewer periods than this. */
+/**
+ * Reports are at most seconds late, which spans far fewer periods than this.
+ */
 const MAXIMUM_PERIODS = 32;
 /** Reports of a version that isn't known yet, kept until it is. */
 const MAXIMUM_WAITING_REPORTS = 256;
--- a/src/expertmap/switch.ts
+++ b/src/expertmap/switch.ts
@@ -25,7 +25,9 @@
   type VotesMessage,
 } from "../internal.js";
 
-/** Safeguards that the fuzzer disables to prove that it detects their absence. */
+/**
+ * Safeguards that the fuzzer disables to prove that it detects their absence.
+ */
 export interface SwitchSafeguards {
   /** Arm the engine before sending a yes. */
   readonly armBeforeYes: boolean;
@@ -59,7 +61,9 @@
   outcomeReported: boolean;
 }
 
-/** Interval between vote requests; a lost message holds a rank this much longer. */
+/**
+ * Interval between vote requests; a lost message holds a rank this much longer.
+ */
 const RELAY_INTERVAL_MS = 50;
 /** Votes on older proposals can still be read from the registers. */
 const MAXIMUM_TRACKED_PROPOSALS = 16;
--- a/src/expertmap/types.ts
+++ b/src/expertmap/types.ts
@@ -76,7 +76,9 @@
   readonly stepMs: number;
   /** How long the engine has held at an undecided step, ms; 0 when not held. */
   readonly heldMs: number;
-  /** Total hold time since the engine's start, including the current hold, ms. */
+  /**
+   * Total hold time since the engine's start, including the current hold, ms.
+   */
   readonly heldTotalMs: number;
   /** Hash of the map that weights are being staged for. */
   readonly stagingHash: string;
@@ -209,7 +211,10 @@
   readonly map: ExpertMap | null;
   /** Map of the armed proposal; after `seal`. */
   readonly armedMap: ExpertMap | null;
-  /** Bytes that the engine already holds of the requested weights; after `stage`. */
+  /**
+   * Bytes that the engine already holds of the requested weights; after
+   * `stage`.
+   */
   readonly staged: readonly StagedWeight[] | null;
 }
 
--- a/src/expertmap/weight-fetch.ts
+++ b/src/expertmap/weight-fetch.ts
@@ -80,7 +80,9 @@
     return this.inFlight;
   }
 
-  /** A part was sent to the engine, which now holds `heldBytes` of the weight. */
+  /**
+   * A part was sent to the engine, which now holds `heldBytes` of the weight.
+   */
   partArrived(part: WeightPart, heldBytes: number): void {
     if (part !== this.inFlight) return;
     this.inFlight = undefined;
--- a/src/rankmaps/agent.ts
+++ b/src/rankmaps/agent.ts
@@ -351,7 +351,7 @@
     return this.engine;
   }
 
-  /** The ranks of the own group among the registered runners. */
+  /** Finds the ranks of the runner's group among the registered runners. */
   private async findGroup(
     own: RankState,
     signal: AbortSignal,
--- a/src/rankmaps/candidacy.ts
+++ b/src/rankmaps/candidacy.ts
@@ -1,8 +1,8 @@
 /**
  * Decides which agents of a group are candidates for its planner lease. Each
  * candidate calls the store twice a second, and a large group needs no more
- * candidates than a small one. Agents of the first ranks always are candidates;
- * any other only while nobody observes its rank, because then no agent is
+ * candidates than a small one. Agents of the first ranks are always candidates,
+ * any other agent only while nobody observes its rank, because then no agent is
  * planning.
  */
 import type { Now } from "../internal.js";
@@ -11,7 +11,7 @@
 export const CANDIDATE_RANKS = 8;
 /**
  * An agent becomes a candidate when its rank hasn't been observed for this
- * long, ms. A planner observes all ranks four times a second, and a new one
+ * long. A planner observes all ranks four times a second, and a new one
  * needs two or three seconds from the loss of the last planner to its first
  * observation.
  */
@@ -28,7 +28,7 @@
     return new Candidacy(now);
   }
 
-  /** Call when a planner observes the own rank. */
+  /** Call when a planner observes this agent's rank. */
   onObserved(): void {
     this.observedAtMs = this.now();
   }
--- a/src/rankmaps/demand.ts
+++ b/src/rankmaps/demand.ts
@@ -16,7 +16,7 @@
  * little traffic, the experts of a few prompts would otherwise be mistaken for
  * the overall demand.
  */
-const MIN_SELECTIONS_PER_EXPERT = 1000;
+const MINIMUM_SELECTIONS_PER_EXPERT = 1000;
 
 export class ExpertDemand {
   readonly tokens: Float64Array;
@@ -40,14 +40,14 @@
   }
 
   private get minimumTotal(): number {
-    return this.tokens.length * MIN_SELECTIONS_PER_EXPERT;
+    return this.tokens.length * MINIMUM_SELECTIONS_PER_EXPERT;
   }
 
   /** Adds the counts of all ranks from the last `elapsedMs`. */
   add(counted: readonly (readonly number[])[], elapsedMs: number): void {
-    const kept = this.retainedShare(counted, elapsedMs);
+    const retainedShare = this.retainedShare(counted, elapsedMs);
     for (let index = 0; index < this.tokens.length; index += 1) {
-      this.tokens[index] *= kept;
+      this.tokens[index] *= retainedShare;
     }
     for (const counts of counted) {
       counts.forEach((count, index) => {
@@ -60,11 +60,11 @@
     counted: readonly (readonly number[])[],
     elapsedMs: number,
   ): number {
-    const faded = Math.exp(-elapsedMs / DECAY_TIME_MS);
+    const decayedShare = Math.exp(-elapsedMs / DECAY_TIME_MS);
     const { total } = this;
-    if (total === 0) return faded;
-    const fresh = sum(counted.map((counts) => sum(counts)));
-    const needed = (this.minimumTotal - fresh) / total;
-    return Math.max(faded, Math.min(1, needed));
+    if (total === 0) return decayedShare;
+    const added = sum(counted.map((counts) => sum(counts)));
+    const needed = (this.minimumTotal - added) / total;
+    return Math.max(decayedShare, Math.min(1, needed));
   }
 }
--- a/src/rankmaps/group-members.ts
+++ b/src/rankmaps/group-members.ts
@@ -1,15 +1,16 @@
 /**
- * The ranks of the own runner's group. The planner discovers them among all
- * runners of the service and announces them with each prepare order, so that
- * only one agent per group searches: with hundreds of runners, each search
- * costs half a second of a core. Membership is fixed within an epoch.
+ * The ranks of the group that this agent's runner belongs to. The planner
+ * discovers them among all runners of the service and announces them with each
+ * prepare order, so that only one agent per group searches: with hundreds of
+ * runners, each search costs half a second of a core. Membership is fixed
+ * within an epoch.
  */
 import type { GroupRank, RankState } from "./types.js";
 
 export interface GroupMembersOptions {
-  /** Observes the own rank. Throws 1607. */
+  /** Observes this agent's rank. Throws 1607. */
   readonly observeOwn: () => Promise<RankState>;
-  /** Discovers the reachable ranks of the own group. Throws 1901. */
+  /** Discovers the reachable ranks of this agent's group. Throws 1901. */
   readonly discover: (own: RankState) => Promise<readonly GroupRank[]>;
   /** `address`: host:port of the runner. */
   readonly rankAt: (address: string) => GroupRank;
--- a/src/rankmaps/group-planner.ts
+++ b/src/rankmaps/group-planner.ts
@@ -94,7 +94,7 @@
  * Covers the hold, three arming rounds and the release, and as many repeats for
  * ranks that lag.
  */
-const MAX_ROUNDS_PER_STEP = 10;
+const MAXIMUM_ROUNDS_PER_STEP = 10;
 
 export class GroupPlanner {
   private snapshot: GroupSnapshot | undefined;
@@ -152,7 +152,7 @@
     coordinator: SwitchCoordinator,
   ): Promise<number> {
     let states = initialStates;
-    for (let round = 0; round < MAX_ROUNDS_PER_STEP; round += 1) {
+    for (let round = 0; round < MAXIMUM_ROUNDS_PER_STEP; round += 1) {
       // A restarted rank has lost what it had prepared, armed or held.
       if (hasRestartedRank(ranks, states)) return ARMING_INTERVAL_MS;
       const placeholderMap = this.snapshot?.map ?? this.goal?.sets;
@@ -407,7 +407,7 @@
   const { expertCopyMs, maximumNewExperts } = engine;
   const fitting = Math.floor(COPY_BUDGET_MS / Math.max(1, expertCopyMs));
   return {
-    maxCopiesPerRank: Math.max(1, fitting),
-    maxCopiesPerSet: Math.max(1, maximumNewExperts),
+    maximumCopiesPerRank: Math.max(1, fitting),
+    maximumCopiesPerSet: Math.max(1, maximumNewExperts),
   };
 }
--- a/src/rankmaps/held-step-resolution.ts
+++ b/src/rankmaps/held-step-resolution.ts
@@ -1,7 +1,7 @@
 /**
- * Resolves a held step by completing or cancelling its switch. It needs no
- * fencing tokens, and no rank whose VM is frozen unless that rank may be
- * armed.
+ * Resolves a held step by completing or cancelling its switch. This requires
+ * neither fencing tokens nor a response from a rank whose VM is frozen, unless
+ * that rank may be armed.
  * - The holder isn't armed: no rank is, and none will be once the holder has
  *   prepared a higher version. After that one order the step can be released,
  *   even if other ranks are unreachable.
@@ -35,8 +35,8 @@
   readonly reached: readonly RankState[];
   readonly holder: RankState;
   /**
-   * Map that is prepared under a cancellation version and never activated. Preferably
-   * the active map, since it needs no copies.
+   * Map that is prepared under a cancellation version and never activated.
+   * Preferably the active map, since it needs no copies.
    */
   readonly placeholderMap: MapSets;
   /** Highest version that ranks are known to have been ordered to prepare. */
--- a/src/rankmaps/hold-guard.ts
+++ b/src/rankmaps/hold-guard.ts
@@ -25,7 +25,7 @@
   readonly emit: Emit;
   /** All ranks of the group. Throws 1901 or 1607. */
   readonly group: () => Promise<readonly GroupRank[]>;
-  /** Maps that the own rank was ordered to prepare. */
+  /** Maps that this agent's rank was ordered to prepare. */
   readonly maps: RelayedMaps;
   readonly signal: AbortSignal;
 }
@@ -38,20 +38,20 @@
 
 /**
  * Time after which the planner counts as frozen, ms. From hold to release it
- * takes about 20 ms; an order without a response adds some 100 ms.
+ * takes about 20 ms; an order without a response adds about 100 ms.
  */
 const PLANNER_TIMEOUT_MS = 150;
 /** Interval between observations, ms. */
 const POLL_INTERVAL_MS = 25;
 /**
- * A rank whose agent takes longer to answer counts as unreachable for this
- * observation, ms. An agent answers in under ten, and the group is waiting. The
- * next observation doesn't wait for that rank, because cancelling a switch
+ * A rank whose agent takes longer than this to answer counts as unreachable for
+ * the observation. An agent answers in under 10 ms, and the group is waiting.
+ * The next observation doesn't wait for that rank, because cancelling a switch
  * takes five observations.
  */
 const OBSERVE_TIMEOUT_MS = 80;
-/** After this time the step is left to a planner, ms. */
-const MAX_WATCH_MS = 6000;
+/** After this time the guard leaves the step to a planner, ms. */
+const MAXIMUM_WATCH_MS = 6000;
 
 export class HoldGuard {
   private readonly watched = new Set<WatchedHold>();
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Call before the own rank is ordered to hold the step. Each hold is watched
-   * separately: one of an earlier incarnation or epoch, whose group no longer
-   * exists, must not prevent the next one from being watched.
+   * Call before this agent's rank is ordered to hold the step. Each hold is
+   * watched separately: one of an earlier incarnation or epoch, whose group no
+   * longer exists, must not prevent the next one from being watched.
    */
   watch(hold: WatchedHold): void {
     const watched = [...this.watched];
@@ -87,7 +87,7 @@
     await pause(PLANNER_TIMEOUT_MS, signal);
     const unresponsive = new Set<string>();
     let isReported = false;
-    while (!signal.aborted && elapsedMs() < MAX_WATCH_MS) {
+    while (!signal.aborted && elapsedMs() < MAXIMUM_WATCH_MS) {
       try {
         const own = await this.options.port.observe();
         if (!isHeldBy(own, hold)) return;
@@ -125,7 +125,7 @@
     await this.send(observed, resolveHeldStep(inputs), fence);
   }
 
-  /** Observes the reachable ranks of the own group in its current epoch. */
+  /** Observes the reachable ranks of this agent's group in its epoch. */
   private async observeGroup(
     own: RankState,
     unresponsive: Set<string>,
--- a/src/rankmaps/hold-step-allocator.ts
+++ b/src/rankmaps/hold-step-allocator.ts
@@ -14,10 +14,10 @@
  */
 export const HOLD_LEAD_STEPS = 4;
 /**
- * No step further ahead is held. A group that makes no steps needs no new map,
- * and the limit bounds what an earlier process can have held.
+ * No step further ahead than this is held. A group that makes no steps needs no
+ * new map, and the limit bounds what an earlier process can have held.
  */
-export const MAX_HOLD_LEAD_STEPS = 8;
+export const MAXIMUM_HOLD_LEAD_STEPS = 8;
 
 export class HoldStepAllocator {
   private epoch: number | undefined;
@@ -28,19 +28,22 @@
   }
 
   /**
-   * Call when the group was observed. `begun`: the latest step that it has
+   * Call when the group was observed. `latestStep`: the latest step that it has
    * begun.
    */
-  onObserved(epoch: number, begun: number): void {
+  onObserved(epoch: number, latestStep: number): void {
     if (epoch === this.epoch) return;
     this.epoch = epoch;
-    this.highestExcluded = begun + MAX_HOLD_LEAD_STEPS;
+    this.highestExcluded = latestStep + MAXIMUM_HOLD_LEAD_STEPS;
   }
 
   /** Undefined until the group has made a step since it was first observed. */
-  next(begun: number): number | undefined {
-    const step = Math.max(begun + HOLD_LEAD_STEPS, this.highestExcluded + 1);
-    return step > begun + MAX_HOLD_LEAD_STEPS ? undefined : step;
+  next(latestStep: number): number | undefined {
+    const step = Math.max(
+      latestStep + HOLD_LEAD_STEPS,
+      this.highestExcluded + 1,
+    );
+    return step > latestStep + MAXIMUM_HOLD_LEAD_STEPS ? undefined : step;
   }
 
   /** Call before the hold of the step is ordered. */
--- a/src/rankmaps/latest-incarnation.ts
+++ b/src/rankmaps/latest-incarnation.ts
@@ -11,7 +11,7 @@
 
 /**
  * If the known incarnation hasn't answered for this long while another one
- * does, the other is accepted even with an earlier start, ms: the server's
+ * does, the other is accepted even with an earlier start, because its VM's
  * clock was set back. Otherwise the rank would be unreachable for the lifetime
  * of this process. No call to a rank or its agent takes more than 250 ms, so no
  * response of an earlier incarnation is delayed this long.
--- a/src/rankmaps/map-planner.ts
+++ b/src/rankmaps/map-planner.ts
@@ -14,9 +14,9 @@
   /**
    * Maximum number of experts that a rank copies for one map, over all sets.
    */
-  readonly maxCopiesPerRank: number;
+  readonly maximumCopiesPerRank: number;
   /** Maximum number of experts that a rank copies for one map in one set. */
-  readonly maxCopiesPerSet: number;
+  readonly maximumCopiesPerSet: number;
 }
 
 export interface MapPlan {
@@ -31,7 +31,7 @@
  * Share of the most loaded ranks' work that each copy has to save. A copy slows
  * down every pass by a seventh while it lasts and occupies the rank's link.
  */
-const MIN_SAVING_PER_COPY = 0.003;
+const MINIMUM_SAVING_PER_COPY = 0.003;
 /**
  * A set whose slowest rank exceeds the balanced load by less than this share
  * isn't changed.
@@ -135,10 +135,10 @@
         const rank = Math.floor(slot / this.shape.slotsPerRank);
         copiesByRank[rank] += 1;
         copiesInSet[index][rank] += 1;
-        if (copiesInSet[index][rank] >= this.limits.maxCopiesPerSet) {
+        if (copiesInSet[index][rank] >= this.limits.maximumCopiesPerSet) {
           set.search.closeRank(rank);
         }
-        if (copiesByRank[rank] >= this.limits.maxCopiesPerRank) {
+        if (copiesByRank[rank] >= this.limits.maximumCopiesPerRank) {
           for (const { search } of sets) search.closeRank(rank);
         }
       }
@@ -182,7 +182,7 @@
   steps: readonly PlannedStep[],
   initialSlowest: number,
 ): readonly PlannedStep[] {
-  const minimumSaving = initialSlowest * MIN_SAVING_PER_COPY;
+  const minimumSaving = initialSlowest * MINIMUM_SAVING_PER_COPY;
   let copies = 0;
   let best = 0;
   let bestValue = 0;
--- a/src/rankmaps/pace-reporter.ts
+++ b/src/rankmaps/pace-reporter.ts
@@ -15,13 +15,14 @@
 /** A slow rank's note is refreshed well before it expires, ms. */
 const REFRESH_INTERVAL_MS = PACE_NOTE_TTL_MS / 2;
 /**
- * Slowness below which a slow rank has recovered; in between, its status stays.
+ * Slowness below which a slow rank has recovered. Between this and
+ * `SLOW_THRESHOLD` its status stays as it was.
  */
 const RECOVERED_BELOW = 1.25;
 
 /**
- * Notes written within this time may be lost when the store is rolled back to an
- * older copy, ms.
+ * Notes written within this time may be lost when the store is rolled back to
+ * an older copy, ms.
  */
 const STORE_LOSS_WINDOW_MS = 60_000;
 
--- a/src/rankmaps/planner-lease.ts
+++ b/src/rankmaps/planner-lease.ts
@@ -5,9 +5,10 @@
  *
  * While the store is unreachable the holder keeps planning. Nobody else can get
  * the lease then, and if the store has granted it to someone else unnoticed,
- * the orders of that newer generation fence ours. When the store is rolled
- * back to an older copy, it may grant the lease under a generation that was used
- * before, so a holder loses the lease until the store grants it again.
+ * the orders of that newer generation fence this holder's orders. When the
+ * store is rolled back to an older copy, it may grant the lease under a
+ * generation that was used before, so a holder loses the lease until the store
+ * grants it again.
  */
 import { pause } from "../daemon/background-task.js";
 import {
@@ -50,8 +51,8 @@
 }
 
 /**
- * Time without a renewal after which a member loses the lease, ms: a group has
- * no planner for this long when its planner is killed.
+ * Time without a renewal after which a member loses the lease. When a planner
+ * is killed, its group has no planner for this long.
  */
 const LEASE_MS = 1600;
 /**
@@ -83,6 +84,7 @@
 
 export class PlannerLease {
   private assignment: LeaseAssignment = NO_ASSIGNMENT;
+  /** Generation that was relinquished last; -1 if none was. */
   private relinquished = -1;
   /** Whether the store may list this process as a member of the group. */
   private isMember = false;
--- a/src/rankmaps/rank-agent.ts
+++ b/src/rankmaps/rank-agent.ts
@@ -1,6 +1,7 @@
 /**
  * gRPC service of the agent on a rank's VM. Answers the group's planner from
- * its own runner, whose counters are current and free to read locally.
+ * the agent's own runner, whose counters are current and cost nothing to read
+ * locally.
  */
 import type { sendUnaryData, ServerUnaryCall } from "@grpc/grpc-js";
 import { toFailure } from "../internal.js";
@@ -27,14 +28,15 @@
   readonly port: RankPort;
   readonly maps: RelayedMaps;
   /**
-   * Called when a planner or the guard of a held step observes the own rank.
+   * Called when a planner or the guard of a held step observes this agent's
+   * rank.
    */
   readonly onObserved: () => void;
   /**
    * host:port of the group's runners in the epoch, as announced by its planner.
    */
   readonly onMembers: (epoch: number, members: readonly string[]) => void;
-  /** Called before the planner orders the own rank to hold a step. */
+  /** Called before the planner orders this agent's rank to hold a step. */
   readonly onHold: (hold: WatchedHold) => void;
 }
 
--- a/src/rankmaps/rank-client.ts
+++ b/src/rankmaps/rank-client.ts
@@ -34,14 +34,14 @@
  * one second, a group that restarts as a whole would wait that long for its
  * last agent.
  */
-const MIN_RECONNECT_BACKOFF_MS = 100;
-const MAX_RECONNECT_BACKOFF_MS = 1000;
+const MINIMUM_RECONNECT_BACKOFF_MS = 100;
+const MAXIMUM_RECONNECT_BACKOFF_MS = 1000;
 
 const rankChannelOptions: ChannelOptions = {
   ...channelOptions,
-  "grpc.initial_reconnect_backoff_ms": MIN_RECONNECT_BACKOFF_MS,
-  "grpc.min_reconnect_backoff_ms": MIN_RECONNECT_BACKOFF_MS,
-  "grpc.max_reconnect_backoff_ms": MAX_RECONNECT_BACKOFF_MS,
+  "grpc.initial_reconnect_backoff_ms": MINIMUM_RECONNECT_BACKOFF_MS,
+  "grpc.min_reconnect_backoff_ms": MINIMUM_RECONNECT_BACKOFF_MS,
+  "grpc.max_reconnect_backoff_ms": MAXIMUM_RECONNECT_BACKOFF_MS,
 };
 
 type Reply<T> = (error: ServiceError | null, value: T) => void;
--- a/src/rankmaps/reachable-rank.ts
+++ b/src/rankmaps/reachable-rank.ts
@@ -35,7 +35,7 @@
  */
 const ABSENT_RETRY_MS = 100;
 /**
- * A call that fails within this time, ms, means that no agent runs on the VM.
+ * A call that fails within this time means that no agent runs on the VM.
  */
 const IMMEDIATE_FAILURE_MS = 50;
 
@@ -74,9 +74,9 @@
     // The VM may have restarted as a whole, so the agent may be back, too.
     if (order === "later") retryAtMs = Number.NEGATIVE_INFINITY;
   };
-  const acceptState = (seen: Observation): Observation => {
-    checkIncarnation(seen.state.startedAtMs);
-    return seen;
+  const acceptState = (observation: Observation): Observation => {
+    checkIncarnation(observation.state.startedAtMs);
+    return observation;
   };
   const acceptResult = (result: OrderResult): OrderResult => {
     checkIncarnation(result.startedAtMs);
--- a/src/rankmaps/relayed-maps.ts
+++ b/src/rankmaps/relayed-maps.ts
@@ -10,7 +10,7 @@
 }
 
 /** Covers the active map, the next one and the cancelled ones in between. */
-const MAX_RETAINED_MAPS = 4;
+const MAXIMUM_RETAINED_MAPS = 4;
 
 export class RelayedMaps {
   /** In ascending order of version. */
@@ -27,7 +27,7 @@
 
   record(map: RelayedMap): void {
     if (map.version <= this.highestVersion) return;
-    this.retained = [...this.retained, map].slice(-MAX_RETAINED_MAPS);
+    this.retained = [...this.retained, map].slice(-MAXIMUM_RETAINED_MAPS);
   }
 
   /**
@@ -35,7 +35,7 @@
    * one.
    */
   placeholderMap(mapVersion: number): MapSets | undefined {
-    const inUse = this.retained.find(({ version }) => version === mapVersion);
-    return (inUse ?? this.retained.at(-1))?.sets;
+    const active = this.retained.find(({ version }) => version === mapVersion);
+    return (active ?? this.retained.at(-1))?.sets;
   }
 }
--- a/src/rankmaps/switch-coordinator.ts
+++ b/src/rankmaps/switch-coordinator.ts
@@ -58,8 +58,8 @@
   }
 
   /**
-   * `placeholderMap`: any map that the ranks can prepare, preferably the active one;
-   * while it is undefined no switch is cancelled.
+   * `placeholderMap`: any map that the ranks can prepare, preferably the active
+   * one; while it is undefined no switch is cancelled.
    */
   nextOrders(
     states: readonly RankState[],
--- a/tests/expertmap/recovery.test.ts
+++ b/tests/expertmap/recovery.test.ts
@@ -61,8 +61,9 @@
 }
 
 describe("recovery of a group", () => {
-  // Two members joined different formations. Each one's state looks complete, but
-  // both are stalled; without comparing incarnations they would stay stalled.
+  // Two members joined different formations. Each one's state looks complete,
+  // but both are stalled; without comparing incarnations they would stay
+  // stalled.
   it("starts a formation when a stalled member is in another incarnation", () => {
     const groupFormation = createFormation();
     groupFormation.setMembers(members);
@@ -80,8 +81,9 @@
     assert.ok(sent.includes("seal"));
   });
 
-  // After a formation, the last state read from the own engine may predate it. A
-  // needless second formation would end every proposal in the new group.
+  // After a formation, the last state that an agent read from its own engine
+  // may predate it. A needless second formation would end every proposal in the
+  // new group.
   it("starts no second formation on an outdated state of its own engine", () => {
     const groupFormation = createFormation();
     groupFormation.setMembers(members);
--- a/tests/expertmap/sockets.test.ts
+++ b/tests/expertmap/sockets.test.ts
@@ -73,8 +73,8 @@
     assert.equal(site.mixedSteps(), []);
   });
 
-  // An engine restarts without its map, and the others hold their next step. The
-  // group must form again on the map that was in force.
+  // An engine restarts without its map, and the others hold their next step.
+  // The group must form again on the map that was in force.
   it("forms again on the map in force when an engine restarts", async () => {
     await using site = await GroupSite.create(options);
     await site.settled(1);
--- a/tests/expertmap/steps-weights-members.test.ts
+++ b/tests/expertmap/steps-weights-members.test.ts
@@ -58,8 +58,8 @@
     assert.equal(check.check(reports), []);
   });
 
-  // A rank runs the step of the switch on the old map, or an earlier step on the
-  // new map. Tokens would then be routed to the wrong experts.
+  // A rank runs the step of the switch on the old map, or an earlier step on
+  // the new map. Tokens would then be routed to the wrong experts.
   it("reports a rank that ran on another map", () => {
     const check = StepChecker.create();
     check.observe(committed);
@@ -140,24 +140,27 @@
   const two = { member: "two", ranks: [1], leaving: false };
   const spare = { member: "a-spare", ranks: [1], leaving: false };
   const names = (
-    ...[candidates, present]: Parameters<typeof choose>
+    ...[candidates, currentMembers]: Parameters<typeof choose>
   ): readonly string[] | undefined =>
-    choose(candidates, present)?.map(({ member }) => member);
+    choose(candidates, currentMembers)?.map(({ member }) => member);
   const choose = (
     candidates: Parameters<typeof chooseMembers>[0],
-    present: Parameters<typeof chooseMembers>[2],
-  ) => chooseMembers(candidates, 2, present);
+    currentMembers: Parameters<typeof chooseMembers>[2],
+  ) => chooseMembers(candidates, 2, currentMembers);
 
   it("stay while they are listed even if another offers their ranks", () => {
-    const present = [one, two];
-    assert.equal(names([spare, one, two], present), ["one", "two"]);
+    const currentMembers = [one, two];
+    assert.equal(names([spare, one, two], currentMembers), ["one", "two"]);
   });
 
   it("are replaced when they leave and another offers their ranks", () => {
     const leaving = { ...two, leaving: true };
-    const present = [one, two];
-    assert.equal(names([one, leaving], present), ["one", "two"]);
-    assert.equal(names([one, leaving, spare], present), ["a-spare", "one"]);
+    const currentMembers = [one, two];
+    assert.equal(names([one, leaving], currentMembers), ["one", "two"]);
+    assert.equal(names([one, leaving, spare], currentMembers), [
+      "a-spare",
+      "one",
+    ]);
   });
 
   it("aren't chosen while a rank has no candidate", () => {
--- a/tests/expertmap/votes.test.ts
+++ b/tests/expertmap/votes.test.ts
@@ -122,8 +122,8 @@
   const armedReply = { ...unarmedReply, armed: proposal, armedMap: nextMap };
   const unformedReply = { ...unarmedReply, group: null, version: 0, map: null };
 
-  // A member dies after all voted yes. The survivors are all armed and can't know
-  // whether it had already sent the commit, so the commit must be assumed.
+  // A member dies after all voted yes. The survivors are all armed and can't
+  // know whether it had already sent the commit, so the commit must be assumed.
   it("is the proposed map when every survivor voted yes", () => {
     assert.equal(chooseMap([armedReply, unformedReply], initial), {
       version: 2,
--- a/tests/rankmaps/candidacy.test.ts
+++ b/tests/rankmaps/candidacy.test.ts
@@ -22,22 +22,22 @@
 
 describe("agents of a large group", () => {
   it("have only a few candidates while an agent plans", () => {
-    // Without the limit, all 64 agents of each of three groups called the store
-    // twice a second for three leases.
-    const site = new AgentGroup();
-    assert.is(site.candidateCount, CANDIDATE_RANKS);
+    // Without the limit, all 64 agents of each of three groups would call the
+    // store twice a second for three leases.
+    const group = new AgentGroup();
+    assert.is(group.candidateCount, CANDIDATE_RANKS);
     for (let observation = 0; observation < 100; observation += 1) {
-      site.nowMs += 250;
-      for (const agent of site.agents) agent.onObserved();
+      group.nowMs += 250;
+      for (const agent of group.agents) agent.onObserved();
     }
-    assert.is(site.candidateCount, CANDIDATE_RANKS);
+    assert.is(group.candidateCount, CANDIDATE_RANKS);
   });
 
   it("all become candidates when nobody observes their ranks", () => {
     // The VMs of the first ranks are cut off from the store while their runners
     // keep working. A planner is needed, and any agent can take over.
-    const site = new AgentGroup();
-    site.nowMs += UNOBSERVED_TIMEOUT_MS;
-    assert.is(site.candidateCount, GROUP_SIZE);
+    const group = new AgentGroup();
+    group.nowMs += UNOBSERVED_TIMEOUT_MS;
+    assert.is(group.candidateCount, GROUP_SIZE);
   });
 });
--- a/tests/rankmaps/group-members.test.ts
+++ b/tests/rankmaps/group-members.test.ts
@@ -45,107 +45,113 @@
   }
 }
 
-describe("ranks of the own group", () => {
+describe("ranks of an agent's group", () => {
   it("are searched once while nothing changes", async () => {
-    const site = new MembersFixture();
-    await site.read();
-    await site.read();
-    assert.equal(await site.read(), site.addresses);
-    assert.is(site.searches, 1);
+    const fixture = new MembersFixture();
+    await fixture.read();
+    await fixture.read();
+    assert.equal(await fixture.read(), fixture.addresses);
+    assert.is(fixture.searches, 1);
   });
 
   it("are searched again in a new epoch", async () => {
     // A rank restarts at another address. The agent of the rank that holds a
-    // step doesn't plan, so no failed observation has told it. With the old
-    // address it couldn't complete a switch whose planner dies.
-    const site = new MembersFixture();
-    await site.read();
-    site.engines.restartAndBreakGroup(1);
-    site.engines.reformGroup();
-    site.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
-    assert.equal(await site.read(), site.addresses);
+    // step doesn't plan, so no failed observation has shown it the restart.
+    // With the old address it couldn't complete a switch whose planner dies.
+    const fixture = new MembersFixture();
+    await fixture.read();
+    fixture.engines.restartAndBreakGroup(1);
+    fixture.engines.reformGroup();
+    fixture.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
+    assert.equal(await fixture.read(), fixture.addresses);
   });
 
   it("are searched again after one was unreachable", async () => {
-    const site = new MembersFixture();
-    await site.read();
-    site.group.markStale();
-    await site.read();
-    assert.is(site.searches, 2);
+    const fixture = new MembersFixture();
+    await fixture.read();
+    fixture.group.markStale();
+    await fixture.read();
+    assert.is(fixture.searches, 2);
   });
 
   it("stay the known ones while the store is unreachable", async () => {
-    const site = new MembersFixture();
-    await site.read();
-    site.engines.restartAndBreakGroup(1);
-    site.engines.reformGroup();
-    site.isStoreUnreachable = true;
-    assert.equal(await site.read(), site.addresses);
-    assert.is(site.failures, 1);
+    const fixture = new MembersFixture();
+    await fixture.read();
+    fixture.engines.restartAndBreakGroup(1);
+    fixture.engines.reformGroup();
+    fixture.isStoreUnreachable = true;
+    assert.equal(await fixture.read(), fixture.addresses);
+    assert.is(fixture.failures, 1);
   });
 
   it("are searched once while the store is unreachable, then in the next round", async () => {
     // The agent of the rank that holds a step reads its group every 25 ms. A
     // failing call to the store each time would keep the step held.
-    const site = new MembersFixture();
-    await site.read();
-    site.engines.restartAndBreakGroup(1);
-    site.engines.reformGroup();
-    site.isStoreUnreachable = true;
-    await site.read();
-    await site.read();
-    assert.is(site.searches, 2);
-    site.isStoreUnreachable = false;
-    site.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
-    site.group.markStale();
-    assert.equal(await site.read(), site.addresses);
+    const fixture = new MembersFixture();
+    await fixture.read();
+    fixture.engines.restartAndBreakGroup(1);
+    fixture.engines.reformGroup();
+    fixture.isStoreUnreachable = true;
+    await fixture.read();
+    await fixture.read();
+    assert.is(fixture.searches, 2);
+    fixture.isStoreUnreachable = false;
+    fixture.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
+    fixture.group.markStale();
+    assert.equal(await fixture.read(), fixture.addresses);
   });
 
   it("are searched again once the store is reachable", async () => {
-    const site = new MembersFixture();
-    site.isStoreUnreachable = true;
-    assert.is(await outcomeWithin(site.read(), OUTCOME_TIMEOUT_MS), "failed");
-    site.isStoreUnreachable = false;
-    assert.equal(await site.read(), site.addresses);
+    const fixture = new MembersFixture();
+    fixture.isStoreUnreachable = true;
+    assert.is(
+      await outcomeWithin(fixture.read(), OUTCOME_TIMEOUT_MS),
+      "failed",
+    );
+    fixture.isStoreUnreachable = false;
+    assert.equal(await fixture.read(), fixture.addresses);
   });
 
   describe("announced by the planner", () => {
     it("aren't searched in the epoch of the announcement", async () => {
       // The planner is gone and the store is unreachable. Without the announced
       // members, the agent of the rank that holds a step couldn't resolve it.
-      const site = new MembersFixture();
-      site.isStoreUnreachable = true;
-      site.group.announce(site.engines.epoch, site.addresses);
-      assert.equal(await site.read(), site.addresses);
-      assert.is(site.searches, 0);
+      const fixture = new MembersFixture();
+      fixture.isStoreUnreachable = true;
+      fixture.group.announce(fixture.engines.epoch, fixture.addresses);
+      assert.equal(await fixture.read(), fixture.addresses);
+      assert.is(fixture.searches, 0);
     });
 
     it("are searched in a later epoch", async () => {
       // A rank is at another address by then.
-      const site = new MembersFixture();
-      site.group.announce(site.engines.epoch, site.addresses);
-      site.engines.restartAndBreakGroup(1);
-      site.engines.reformGroup();
-      site.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
-      assert.equal(await site.read(), site.addresses);
-      assert.is(site.searches, 1);
+      const fixture = new MembersFixture();
+      fixture.group.announce(fixture.engines.epoch, fixture.addresses);
+      fixture.engines.restartAndBreakGroup(1);
+      fixture.engines.reformGroup();
+      fixture.addresses = ["10.0.0.0:1", "10.0.0.9:1"];
+      assert.equal(await fixture.read(), fixture.addresses);
+      assert.is(fixture.searches, 1);
     });
 
     it("stay as announced when an order of an earlier epoch arrives late", async () => {
-      const site = new MembersFixture();
-      site.isStoreUnreachable = true;
-      site.group.announce(site.engines.epoch, site.addresses);
-      site.group.announce(site.engines.epoch - 1, ["10.0.0.0:1", "10.0.0.9:1"]);
-      assert.equal(await site.read(), site.addresses);
+      const fixture = new MembersFixture();
+      fixture.isStoreUnreachable = true;
+      fixture.group.announce(fixture.engines.epoch, fixture.addresses);
+      fixture.group.announce(fixture.engines.epoch - 1, [
+        "10.0.0.0:1",
+        "10.0.0.9:1",
+      ]);
+      assert.equal(await fixture.read(), fixture.addresses);
     });
 
     it("are searched when one of them is unreachable", async () => {
-      const site = new MembersFixture();
-      site.group.announce(site.engines.epoch, site.addresses);
-      await site.read();
-      site.group.markStale();
-      await site.read();
-      assert.is(site.searches, 1);
+      const fixture = new MembersFixture();
+      fixture.group.announce(fixture.engines.epoch, fixture.addresses);
+      await fixture.read();
+      fixture.group.markStale();
+      await fixture.read();
+      assert.is(fixture.searches, 1);
     });
   });
 });
--- a/tests/rankmaps/group-planner.test.ts
+++ b/tests/rankmaps/group-planner.test.ts
@@ -159,9 +159,9 @@
     if (order.kind === "prepare") this.versions.push(order.version);
     const { startedAtMs } = this.engines.stateOf(rank);
     this.engines.send(rank, order, fence);
-    const isTaken = this.engines.deliver().some((one) => one.rank === rank);
+    const isAccepted = this.engines.deliver().some((one) => one.rank === rank);
     await this.onOrder(rank, order, fence);
-    return isTaken
+    return isAccepted
       ? { kind: "accepted", isDone: true, startedAtMs }
       : { kind: "refused", status: 409, startedAtMs };
   }
--- a/tests/rankmaps/group-search.test.ts
+++ b/tests/rankmaps/group-search.test.ts
@@ -14,7 +14,7 @@
 const OTHER = "127.0.0.1:9002";
 const FOREIGN = "127.0.0.1:9003";
 const OTHER_GROUP = "127.0.0.1:9101";
-/** Longer than an agent takes from its start to a search, ms. */
+/** Longer than an agent takes from its start to its first search, ms. */
 const SEARCH_WAIT_MS = 1200;
 
 const state: RankState = { ...RANK_STATE, rank: 0, size: 2, step: 0 };
@@ -80,25 +80,28 @@
     readonly value: Buffer;
   }[];
   /** Called with each address that is observed. */
-  readonly onAsked: (address: string) => void;
+  readonly onObserve: (address: string) => void;
 }
 
-/** Ports from 9000 are in the own group, ports from 9100 in another one. */
-function portAt(address: string, onAsked: (address: string) => void): RankPort {
+/** Ports from 9000 are in the agent's group, ports from 9100 in another. */
+function portAt(
+  address: string,
+  onObserve: (address: string) => void,
+): RankPort {
   const group = address.includes(":91") ? "other" : state.group;
   return {
     ...port,
     observe: () => {
-      onAsked(address);
+      onObserve(address);
       return Promise.resolve({ ...state, group });
     },
   };
 }
 
 function startAgent(search: Search): Promise<RankAgentProcess> {
-  const { addresses, isHolder, foreign = [], onAsked } = search;
-  const runners = addresses.map((address, at) =>
-    recordOf(`i-${at}`, registrationAt(address)),
+  const { addresses, isHolder, foreign = [], onObserve } = search;
+  const runners = addresses.map((address, index) =>
+    recordOf(`i-${index}`, registrationAt(address)),
   );
   return RankAgentProcess.create({
     settings: {
@@ -112,7 +115,7 @@
       peers: "127.0.0.1:0",
       service: "model",
     },
-    connectRunner: (address) => portAt(address, onAsked),
+    connectRunner: (address) => portAt(address, onObserve),
     leaseService: {
       join: () => Promise.resolve({ generation: 1, era: 0, isHolder }),
       leave: () => Promise.resolve(),
@@ -133,45 +136,46 @@
     // Another program has written into the register. If that made the search
     // fail, the agent would know no other rank: nobody would plan, and a held
     // step would have no guard that could complete its switch.
-    const asked = new Set<string>();
+    const observed = new Set<string>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER],
       foreign: createMalformedRecords(registrationAt(FOREIGN)),
       isHolder: true,
-      onAsked: (address) => asked.add(address),
+      onObserve: (address) => observed.add(address),
     });
     assert.ok(agent);
-    await waitFor(() => asked.has(OTHER));
-    assert.not.ok(asked.has(FOREIGN));
+    await waitFor(() => observed.has(OTHER));
+    assert.not.ok(observed.has(FOREIGN));
   });
 
   it("is made only by the planner", async () => {
     // If each agent searched for its group at its start, with a connection to
     // every runner of the service, agents among hundreds of runners would run
     // out of memory and be late to their first map.
-    const asked = new Set<string>();
+    const observed = new Set<string>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER],
       isHolder: false,
-      onAsked: (address) => asked.add(address),
+      onObserve: (address) => observed.add(address),
     });
     assert.ok(agent);
-    await waitFor(() => asked.has(OWN));
+    await waitFor(() => observed.has(OWN));
     await pause(SEARCH_WAIT_MS);
-    assert.equal([...asked], [OWN]);
+    assert.equal([...observed], [OWN]);
   });
 
   it("observes runners of another group once", async () => {
-    // The own group stays incomplete for a while, so the agent searches for it
-    // repeatedly among all runners of the service.
-    const asked = new Map<string, number>();
+    // The agent's group stays incomplete for a while, so the agent searches for
+    // it repeatedly among all runners of the service.
+    const observed = new Map<string, number>();
     await using agent = await startAgent({
       addresses: [OWN, OTHER, OTHER_GROUP],
       isHolder: true,
-      onAsked: (address) => asked.set(address, (asked.get(address) ?? 0) + 1),
+      onObserve: (address) =>
+        observed.set(address, (observed.get(address) ?? 0) + 1),
     });
     assert.ok(agent);
-    await waitFor(() => (asked.get(OTHER) ?? 0) > 5);
-    assert.is(asked.get(OTHER_GROUP), 1);
+    await waitFor(() => (observed.get(OTHER) ?? 0) > 5);
+    assert.is(observed.get(OTHER_GROUP), 1);
   });
 });
--- a/tests/rankmaps/hold-guard.test.ts
+++ b/tests/rankmaps/hold-guard.test.ts
@@ -19,8 +19,8 @@
 const isPlanner = (rank: number): boolean => rank === PLANNER;
 const FENCE = { epoch: 1, fencing: 9 };
 const VERSION = 6;
-/** A frozen VM may not keep its group waiting for longer, ms. */
-const MAX_HOLD_MS = 500;
+/** A frozen VM may not keep its group waiting for longer than this, ms. */
+const MAXIMUM_HOLD_MS = 500;
 
 /** Maps that the holder's agent has relayed. */
 function relayedMaps(): RelayedMaps {
@@ -154,7 +154,7 @@
     assert.ok(engines.states().every(({ mapVersion }) => mapVersion === 0));
   });
 
-  it("cancels a switch between two arms", async () => {
+  it("cancels a switch whose planner's VM froze between two arms", async () => {
     const engines = preparedEngines();
     armRanks(engines, [HOLDER, 2]);
     await watchUntil(engines, () => engines.history.passes > 6, isPlanner);
@@ -174,7 +174,8 @@
   });
 
   it("keeps holding the step when another unreachable rank may be armed", async () => {
-    // The VM of a rank freezes that was ordered to arm together with others.
+    // The VM of a rank freezes after the rank was ordered to arm together with
+    // others.
     const engines = preparedEngines();
     armRanks(engines, [HOLDER, 2]);
     const until = performance.now() + 600;
@@ -189,11 +190,11 @@
     // armed. Now the rank is reachable and isn't armed.
     const engines = preparedEngines();
     armRanks(engines, [1, 2, 3]);
-    const wakesAt = performance.now() + 500;
+    const resumesAt = performance.now() + 500;
     await watchUntil(
       engines,
       () => engines.history.passes > 6,
-      (rank) => isPlanner(rank) && performance.now() < wakesAt,
+      (rank) => isPlanner(rank) && performance.now() < resumesAt,
     );
     assert.is(engines.history.mixedPasses, 0);
     assert.ok(
@@ -217,18 +218,18 @@
     // received and accepted an order can't be observed.
     const moments = [
       { name: "before any arm", armed: [], frozen: [0, 2, 3] },
-      { name: "after the holder's", armed: [HOLDER], frozen: [0] },
-      { name: "between the others'", armed: [HOLDER, 2], frozen: [0] },
+      { name: "after the holder's arm", armed: [HOLDER], frozen: [0] },
+      { name: "between the others' arms", armed: [HOLDER, 2], frozen: [0] },
     ];
     for (const { name, armed, frozen } of moments) {
-      for (const still of frozen) {
-        it(`continues soon, ${name} arm and without rank ${still}`, async () => {
+      for (const frozenRank of frozen) {
+        it(`lets the group continue soon: frozen ${name}, rank ${frozenRank}`, async () => {
           const engines = preparedEngines();
           armRanks(engines, armed);
           const startedAtMs = performance.now();
-          const isFrozen = (rank: number): boolean => rank === still;
+          const isFrozen = (rank: number): boolean => rank === frozenRank;
           await watchUntil(engines, () => engines.history.passes > 3, isFrozen);
-          assert.ok(performance.now() - startedAtMs < MAX_HOLD_MS);
+          assert.ok(performance.now() - startedAtMs < MAXIMUM_HOLD_MS);
           assert.is(engines.history.mixedPasses, 0);
         });
       }
--- a/tests/rankmaps/map-planner.test.ts
+++ b/tests/rankmaps/map-planner.test.ts
@@ -7,13 +7,13 @@
 
 const SHAPE = { ranks: 12, layers: 3, experts: 96, slotsPerRank: 11 };
 
-const EQUAL = new Float64Array(SHAPE.ranks).fill(1);
+const EQUAL_SPEEDS = new Float64Array(SHAPE.ranks).fill(1);
 
 /** The engines' first map: experts assigned round-robin. */
 function firstMap(): MapSets {
   return Array.from({ length: SHAPE.layers }, () =>
     Array.from({ length: SHAPE.ranks }, (_, rank) =>
-      Array.from({ length: 8 }, (_, place) => rank + place * SHAPE.ranks),
+      Array.from({ length: 8 }, (_, slot) => rank + slot * SHAPE.ranks),
     ),
   );
 }
@@ -35,13 +35,13 @@
 }
 
 describe("map planner", () => {
-  const limits = { maxCopiesPerRank: 1, maxCopiesPerSet: 4 };
+  const limits = { maximumCopiesPerRank: 1, maximumCopiesPerSet: 4 };
   const planner = MapPlanner.create(SHAPE, limits);
 
   it("keeps every expert on a rank, within the ranks' slots", () => {
     let map = firstMap();
     for (let seed = 1; seed <= 30; seed += 1) {
-      map = planner.plan(map, skewedDemand(seed), EQUAL)?.sets ?? map;
+      map = planner.plan(map, skewedDemand(seed), EQUAL_SPEEDS)?.sets ?? map;
       for (const ranks of map) {
         const held = new Set(ranks.flat());
         assert.is(held.size, SHAPE.experts);
@@ -56,30 +56,31 @@
   it("gives no rank more new experts than it may copy", () => {
     let map = firstMap();
     for (let seed = 1; seed <= 30; seed += 1) {
-      const next = planner.plan(map, skewedDemand(seed), EQUAL)?.sets;
+      const next = planner.plan(map, skewedDemand(seed), EQUAL_SPEEDS)?.sets;
       if (next === undefined) continue;
       const copies = copiesOf(map, next);
       for (let rank = 0; rank < SHAPE.ranks; rank += 1) {
         const all = copies.reduce((sum, ranks) => sum + ranks[rank], 0);
-        assert.ok(all <= limits.maxCopiesPerRank, `rank ${rank}: ${all}`);
+        assert.ok(all <= limits.maximumCopiesPerRank, `rank ${rank}: ${all}`);
       }
       map = next;
     }
   });
 
   it("balances a lasting demand within a few maps", () => {
-    // Demand shifts suddenly, as when a wave of mandates begins. Passes take as
-    // long as the most loaded rank, so callers wait for its part.
+    // Demand shifts suddenly, as when many requests of one kind arrive at once.
+    // Passes take as long as the most loaded rank, so callers wait for its
+    // part.
     const demand = skewedDemand(5);
     let map = firstMap();
     const skews: number[] = [];
     for (let round = 0; round < 8; round += 1) {
-      const plan = planner.plan(map, demand, EQUAL);
+      const plan = planner.plan(map, demand, EQUAL_SPEEDS);
       if (plan === undefined) break;
       skews.push(plan.skewBefore);
       map = plan.sets;
     }
-    const last = planner.plan(map, demand, EQUAL)?.skewBefore ?? 1;
+    const last = planner.plan(map, demand, EQUAL_SPEEDS)?.skewBefore ?? 1;
     assert.ok(skews[0] > 1.6, String(skews[0]));
     assert.ok(last < 1.25, String(last));
   });
@@ -87,7 +88,7 @@
   it("moves work away from a slow rank", () => {
     // One engine takes four times as long as the others, and every step of the
     // group waits for it: all streams are late until its experts move away.
-    const speeds = Float64Array.from(EQUAL);
+    const speeds = Float64Array.from(EQUAL_SPEEDS);
     speeds[3] = 1 / 4;
     const demand = skewedDemand(9);
     let map = firstMap();
@@ -103,17 +104,18 @@
   it("doesn't change a balanced load", () => {
     const size = SHAPE.layers * SHAPE.experts;
     const even = new Float64Array(size).fill(1000);
-    assert.is(planner.plan(firstMap(), even, EQUAL), undefined);
+    assert.is(planner.plan(firstMap(), even, EQUAL_SPEEDS), undefined);
   });
 });
 
 describe("expert demand", () => {
   it("follows a shift in demand within two seconds", () => {
     const demand = ExpertDemand.create(2);
-    const many = [10_000, 1000];
-    const few = [1000, 10_000];
-    for (let round = 0; round < 40; round += 1) demand.add([many], 250);
-    for (let round = 0; round < 8; round += 1) demand.add([few], 250);
+    const initialCounts = [10_000, 1000];
+    const shiftedCounts = [1000, 10_000];
+    for (let round = 0; round < 40; round += 1)
+      demand.add([initialCounts], 250);
+    for (let round = 0; round < 8; round += 1) demand.add([shiftedCounts], 250);
     assert.ok(demand.tokens[1] > 3 * demand.tokens[0]);
   });
 
--- a/tests/rankmaps/rank-agent.test.ts
+++ b/tests/rankmaps/rank-agent.test.ts
@@ -52,9 +52,9 @@
 describe("agent beside a rank", () => {
   describe("counts since the last read", () => {
     it("are the differences", async () => {
-      const runner = new AgentFixture();
-      await runner.read(countsOf(1000, [100, 50]));
-      const added = await runner.read(countsOf(1000, [130, 50]));
+      const fixture = new AgentFixture();
+      await fixture.read(countsOf(1000, [100, 50]));
+      const added = await fixture.read(countsOf(1000, [130, 50]));
       assert.equal(added, [30, 0]);
     });
 
@@ -62,16 +62,16 @@
       // The agent restarts beside a runner that has counted for hours. The
       // cumulative counts would be mistaken for current demand, and the next
       // map would be planned for demand of the past.
-      const runner = new AgentFixture();
-      assert.equal(await runner.read(countsOf(1000, [90_000, 50])), []);
+      const fixture = new AgentFixture();
+      assert.equal(await fixture.read(countsOf(1000, [90_000, 50])), []);
     });
 
     it("continue in a new epoch of the same incarnation", async () => {
       // Another rank restarts and the group is formed again, while this rank
       // has kept counting. Its cumulative counts aren't the current demand.
-      const runner = new AgentFixture();
-      await runner.read(countsOf(1000, [90_000, 50]));
-      const added = await runner.read(countsOf(1000, [90_010, 55], 2));
+      const fixture = new AgentFixture();
+      await fixture.read(countsOf(1000, [90_000, 50]));
+      const added = await fixture.read(countsOf(1000, [90_010, 55], 2));
       assert.equal(added, [10, 5]);
     });
 
@@ -81,43 +81,43 @@
       ["in part lower", [20, 7000]],
     ] as const) {
       it(`are empty when a later incarnation's counts are ${name}`, async () => {
-        const runner = new AgentFixture();
-        await runner.read(countsOf(1000, [100, 50]));
-        assert.equal(await runner.read(countsOf(2000, counts)), []);
+        const fixture = new AgentFixture();
+        await fixture.read(countsOf(1000, [100, 50]));
+        assert.equal(await fixture.read(countsOf(2000, counts)), []);
         const next = counts.map((count) => count + 3);
-        assert.equal(await runner.read(countsOf(2000, next)), [3, 3]);
+        assert.equal(await fixture.read(countsOf(2000, next)), [3, 3]);
       });
     }
 
     it("ignore late counts of an earlier incarnation", async () => {
-      const runner = new AgentFixture();
-      await runner.read(countsOf(2000, [100, 50]));
-      assert.equal(await runner.read(countsOf(1000, [9000, 9000])), []);
-      assert.equal(await runner.read(countsOf(2000, [101, 50])), [1, 0]);
+      const fixture = new AgentFixture();
+      await fixture.read(countsOf(2000, [100, 50]));
+      assert.equal(await fixture.read(countsOf(1000, [9000, 9000])), []);
+      assert.equal(await fixture.read(countsOf(2000, [101, 50])), [1, 0]);
     });
 
     it("are empty when later counts arrived first", async () => {
-      const runner = new AgentFixture();
-      await runner.read(countsOf(1000, [100, 50]));
-      await runner.read(countsOf(1000, [120, 60]));
-      assert.equal(await runner.read(countsOf(1000, [110, 55])), []);
-      assert.equal(await runner.read(countsOf(1000, [121, 60])), [1, 0]);
+      const fixture = new AgentFixture();
+      await fixture.read(countsOf(1000, [100, 50]));
+      await fixture.read(countsOf(1000, [120, 60]));
+      assert.equal(await fixture.read(countsOf(1000, [110, 55])), []);
+      assert.equal(await fixture.read(countsOf(1000, [121, 60])), [1, 0]);
     });
 
     describe("without a known start", () => {
       it("are empty after a counter has decreased, also for higher counters", async () => {
-        const runner = new AgentFixture();
-        await runner.read(countsOf(undefined, [100, 50]));
-        const started = await runner.read(countsOf(undefined, [20, 60]));
+        const fixture = new AgentFixture();
+        await fixture.read(countsOf(undefined, [100, 50]));
+        const started = await fixture.read(countsOf(undefined, [20, 60]));
         assert.equal(started, []);
-        const added = await runner.read(countsOf(undefined, [25, 60]));
+        const added = await fixture.read(countsOf(undefined, [25, 60]));
         assert.equal(added, [5, 0]);
       });
 
       it("are empty in a new epoch", async () => {
-        const runner = new AgentFixture();
-        await runner.read(countsOf(undefined, [100, 50]));
-        const started = await runner.read(countsOf(undefined, [900, 90], 2));
+        const fixture = new AgentFixture();
+        await fixture.read(countsOf(undefined, [100, 50]));
+        const started = await fixture.read(countsOf(undefined, [900, 90], 2));
         assert.equal(started, []);
       });
     });
@@ -126,13 +126,13 @@
   it("omits the experts of another incarnation than the state's", async () => {
     // The runner restarts between the two responses. The first map with the
     // version of a later one would be mistaken for the map of the whole group.
-    const runner = new AgentFixture();
+    const fixture = new AgentFixture();
     const experts = [[0, 4]];
     const request = { withCounts: false, withExperts: true };
-    runner.state = { ...RANK_STATE, mapVersion: 5, startedAtMs: 1000 };
-    runner.held = { experts, startedAtMs: 2000 };
-    assert.equal((await runner.agent.observe(request)).experts, []);
-    runner.state = { ...RANK_STATE, startedAtMs: 2000 };
-    assert.equal((await runner.agent.observe(request)).experts, experts);
+    fixture.state = { ...RANK_STATE, mapVersion: 5, startedAtMs: 1000 };
+    fixture.held = { experts, startedAtMs: 2000 };
+    assert.equal((await fixture.agent.observe(request)).experts, []);
+    fixture.state = { ...RANK_STATE, startedAtMs: 2000 };
+    assert.equal((await fixture.agent.observe(request)).experts, experts);
   });
 });
--- a/tests/rankmaps/reachable-rank.test.ts
+++ b/tests/rankmaps/reachable-rank.test.ts
@@ -179,7 +179,7 @@
       );
     });
 
-    it("gets an order again that only its earlier incarnation accepted", async () => {
+    it("gets an order again if only its earlier incarnation accepted it", async () => {
       // The response says accepted and done. If it were attributed to the
       // current incarnation, the rank would count as armed, and the step would
       // begin without it.
--- a/tests/rankmaps/runner-port.test.ts
+++ b/tests/rankmaps/runner-port.test.ts
@@ -47,13 +47,13 @@
 ): Promise<readonly (number | undefined)[]> {
   const reply = replyOf({ ...FIELDS, born });
   const report = replyOf({ ...REPORT, born });
-  const said = [
+  const responses = [
     await callWithReply(report, (port) => port.observe()),
     await callWithReply(reply, (port) => port.counts()),
     await callWithReply(reply, (port) => port.experts()),
     await callWithReply(reply, (port) => port.order(RELEASE, FENCE)),
   ];
-  return said.map(({ startedAtMs }) => startedAtMs);
+  return responses.map(({ startedAtMs }) => startedAtMs);
 }
 
 async function errorOf(work: Promise<unknown>): Promise<unknown> {
--- a/tests/rankmaps/simulated-engines.ts
+++ b/tests/rankmaps/simulated-engines.ts
@@ -23,14 +23,14 @@
 
 interface Engine {
   readonly startedAtMs: number;
-  map: number;
+  mapVersion: number;
   /** Contents of the active map and of the prepared one. */
   sets: MapSets;
   preparedSets: MapSets;
-  prepared: number | undefined;
+  preparedVersion: number | undefined;
   highestVersion: number;
   armed: ArmedMap | undefined;
-  held: number | undefined;
+  heldStep: number | undefined;
   fencing: number;
 }
 
@@ -51,9 +51,11 @@
   readonly startedAtMs: IncarnationStart;
 }
 
+/** Share of orders that are carried out late. */
 const DELAYED_SHARE = 0.3;
+/** Share of orders that never reach the engine. */
 const LOST_SHARE = 0.1;
-const MAX_DELAY = 40;
+const MAXIMUM_DELAY_DELIVERIES = 40;
 /** Share of reads that return a report of an earlier incarnation. */
 const EARLIER_INCARNATION_SHARE = 0.1;
 /** Number of earlier incarnations whose last report may still arrive. */
@@ -147,10 +149,10 @@
       size: this.size,
       isOpen: this.isOpen,
       step: this.step,
-      mapVersion: engine.map,
-      preparedVersion: engine.prepared,
+      mapVersion: engine.mapVersion,
+      preparedVersion: engine.preparedVersion,
       armed: engine.armed,
-      heldStep: engine.held,
+      heldStep: engine.heldStep,
       slowness: 1,
       startedAtMs: engine.startedAtMs,
     };
@@ -165,7 +167,9 @@
     const draw = this.random();
     if (!this.areFaultsDisabled && draw < LOST_SHARE) return;
     const isLate = !this.areFaultsDisabled && draw < LOST_SHARE + DELAYED_SHARE;
-    const delay = isLate ? 1 + Math.floor(this.random() * MAX_DELAY) : 0;
+    const delay = isLate
+      ? 1 + Math.floor(this.random() * MAXIMUM_DELAY_DELIVERIES)
+      : 0;
     this.inFlight.push({ rank, order, fence, delay, isLate });
   }
 
@@ -187,20 +191,22 @@
   pass(): void {
     if (!this.isOpen || this.isStalled) return;
     const next = this.step + 1;
-    if (this.engines.some(({ held }) => held === next)) return;
+    if (this.engines.some(({ heldStep }) => heldStep === next)) return;
     let switched = 0;
     for (const [rank, engine] of this.engines.entries()) {
       this.retainReport(rank);
       if (engine.armed?.step !== next) continue;
-      engine.map = engine.armed.version;
+      engine.mapVersion = engine.armed.version;
       engine.sets = engine.preparedSets;
       engine.armed = undefined;
-      engine.prepared = undefined;
+      engine.preparedVersion = undefined;
       switched += 1;
     }
     this.step = next;
     const maps = new Set(
-      this.engines.map(({ map, sets }) => JSON.stringify([map, sets])),
+      this.engines.map(({ mapVersion, sets }) =>
+        JSON.stringify([mapVersion, sets]),
+      ),
     );
     this.counters.passes += 1;
     if (switched > 0) this.counters.switches += 1;
@@ -243,11 +249,11 @@
     this.epoch += 1;
     this.clearReports();
     for (const engine of this.engines) {
-      engine.map = 0;
+      engine.mapVersion = 0;
       engine.sets = [];
-      engine.prepared = undefined;
+      engine.preparedVersion = undefined;
       engine.armed = undefined;
-      engine.held = undefined;
+      engine.heldStep = undefined;
     }
   }
 
@@ -267,13 +273,13 @@
     this.startedAtMs += 1000;
     return {
       startedAtMs: this.startedAtMs,
-      map: 0,
+      mapVersion: 0,
       sets: [],
       preparedSets: [],
-      prepared: undefined,
+      preparedVersion: undefined,
       highestVersion: 0,
       armed: undefined,
-      held: undefined,
+      heldStep: undefined,
       fencing: 0,
     };
   }
@@ -296,27 +302,27 @@
         if (order.version <= engine.highestVersion) return false;
         if (engine.armed !== undefined) return false;
         engine.highestVersion = order.version;
-        engine.prepared = order.version;
+        engine.preparedVersion = order.version;
         engine.preparedSets = order.sets;
         return true;
       case "arm":
-        if (engine.prepared !== order.version) return false;
+        if (engine.preparedVersion !== order.version) return false;
         if (order.step <= this.step) return false;
         engine.armed = { version: order.version, step: order.step };
         return true;
       case "disarm":
-        if (engine.map === order.version) return false;
+        if (engine.mapVersion === order.version) return false;
         if (engine.armed?.version === order.version) engine.armed = undefined;
         return true;
       case "hold":
         if (order.step <= this.step) return false;
-        if (engine.held !== undefined && engine.held !== order.step) {
+        if (engine.heldStep !== undefined && engine.heldStep !== order.step) {
           return false;
         }
-        engine.held = order.step;
+        engine.heldStep = order.step;
         return true;
       case "release":
-        if (engine.held === order.step) engine.held = undefined;
+        if (engine.heldStep === order.step) engine.heldStep = undefined;
         return true;
     }
   }
--- a/tests/rankmaps/switch-orders.test.ts
+++ b/tests/rankmaps/switch-orders.test.ts
@@ -5,7 +5,7 @@
 import { resolveHeldStep } from "../../src/rankmaps/held-step-resolution.js";
 import {
   HoldStepAllocator,
-  MAX_HOLD_LEAD_STEPS,
+  MAXIMUM_HOLD_LEAD_STEPS,
 } from "../../src/rankmaps/hold-step-allocator.js";
 import {
   applyOrders,
@@ -28,14 +28,14 @@
 const RANKS = 4;
 const SEED_COUNT = 20_000;
 
-/** Probability of each fault per turn of a simulation. */
+/** Probability of each fault, per turn of a simulation unless noted. */
 interface FaultRates {
   /** All ranks restart at once. */
   readonly crash: number;
   readonly restart: number;
   /** A rank restarts, and is observed before its group breaks. */
   readonly undetectedRestart: number;
-  /** The same while the response to an order is in flight; per order. */
+  /** The same while the response to an order is in flight; per order sent. */
   readonly restartWhileAnswering: number;
 }
 
@@ -54,9 +54,9 @@
 };
 
 /** Share of turns at which the store is rolled back to an older copy. */
-const STORE_RESTORE_SHARE = 0.03;
+const STORE_ROLLBACK_SHARE = 0.03;
 /** Maximum number of generations that such a copy is behind. */
-const MAX_LOST_GENERATIONS = 6;
+const MAXIMUM_LOST_GENERATIONS = 6;
 
 /** Share of turns at which a group becomes idle. */
 const IDLE_SHARE = 0.01;
@@ -74,7 +74,7 @@
     HoldStepAllocator.create(),
   );
   private isIdle = false;
-  private maps = 0;
+  private mapCount = 0;
   /** The highest version that each rank was ordered to prepare. */
   readonly orderedVersions = Array.from({ length: RANKS }, () => 0);
 
@@ -90,8 +90,8 @@
    * Returns a unique map: ranks don't compare maps, but the simulation does.
    */
   newMap(): MapSets {
-    this.maps += 1;
-    return [[[this.maps]]];
+    this.mapCount += 1;
+    return [[[this.mapCount]]];
   }
 
   /** Whether the observed incarnation confirms the order. */
@@ -129,8 +129,8 @@
   advance(): void {
     const { engines, random, faults } = this;
     // A group without work makes no steps.
-    const changes = this.isIdle ? BUSY_SHARE : IDLE_SHARE;
-    if (random() < changes) this.isIdle = !this.isIdle;
+    const toggleShare = this.isIdle ? BUSY_SHARE : IDLE_SHARE;
+    if (random() < toggleShare) this.isIdle = !this.isIdle;
     if (!this.isIdle && random() < 0.5) engines.pass();
     engines.deliver();
     if (random() < faults.crash) engines.crashAll();
@@ -309,7 +309,7 @@
     const isRolledBack = rollbackShare > 0 && random() < rollbackShare;
     if (isRolledBack) {
       era += 1;
-      storeGeneration -= Math.floor(random() * MAX_LOST_GENERATIONS);
+      storeGeneration -= Math.floor(random() * MAXIMUM_LOST_GENERATIONS);
       storeGeneration = Math.max(0, storeGeneration);
     }
     if (isRolledBack || random() < 0.02) {
@@ -332,11 +332,11 @@
 }
 
 describe("orders of a map switch", () => {
-  it("never lets a pass coordinator with two maps", () => {
+  it("never lets a pass begin with two maps", () => {
     // Orders get lost, and some are carried out much later; a second planner
     // takes over while orders of the first are still in flight; ranks crash, or
     // restart while their earlier responses arrive late. A pass with two maps
-    // would give wrong answers to everyone in it.
+    // would give wrong answers to every request in it.
     let switches = 0;
     for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
       const { history } = simulate(seed);
@@ -346,7 +346,7 @@
     assert.ok(switches > SEED_COUNT, `${switches} switches`);
   });
 
-  it("never lets a pass coordinator with two maps while ranks restart often", () => {
+  it("never lets a pass begin with two maps while ranks restart often", () => {
     // A restarted rank has lost what it prepared, what it was armed for and
     // held, and which fencing token it accepted; late responses and reports
     // from before say otherwise.
@@ -356,13 +356,13 @@
     }
   });
 
-  it("never lets a pass coordinator with two maps when generations are issued again", () => {
+  it("never lets a pass begin with two maps when generations are issued again", () => {
     // The store is rolled back to an older copy and grants the lease under a
     // generation that another planner has used, whose orders are still in
     // flight, or who doesn't know yet.
     let switches = 0;
     for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-      const { history } = simulate(seed, USUAL_FAULTS, STORE_RESTORE_SHARE);
+      const { history } = simulate(seed, USUAL_FAULTS, STORE_ROLLBACK_SHARE);
       assert.is(history.mixedPasses, 0, `seed ${seed}`);
       switches += history.switches;
     }
@@ -443,11 +443,11 @@
     // second hold's step begin while ranks are being armed.
     const steps = HoldStepAllocator.create();
     const held: number[] = [];
-    let begun = 7;
-    steps.onObserved(1, begun);
+    let latestStep = 7;
+    steps.onObserved(1, latestStep);
     for (let turn = 0; turn < 40; turn += 1) {
-      const step = steps.next(begun);
-      if (step === undefined) begun += 1;
+      const step = steps.next(latestStep);
+      if (step === undefined) latestStep += 1;
       else {
         held.push(step);
         steps.markUsed(step);
@@ -459,7 +459,7 @@
       held.toSorted((a, b) => a - b),
     );
     // Nor a step that an earlier process on the same VM can have held.
-    assert.ok(held[0] > 7 + MAX_HOLD_LEAD_STEPS);
+    assert.ok(held[0] > 7 + MAXIMUM_HOLD_LEAD_STEPS);
   });
 
   it("treats a rank that has switched already as armed", () => {
