--- a/fuzz/configuration/configuration.ts
+++ b/fuzz/configuration/configuration.ts
@@ -8,8 +8,8 @@
 import type { FuzzTarget } from "../target.js";
 import { ConfigurationSimulation, READER_COUNT } from "./simulation.js";
 
-const MAX_HISTORY_STEPS = 40;
-const MAX_MUTATION_RUNS = 2_000;
+const MAXIMUM_HISTORY_STEPS = 40;
+const MAXIMUM_MUTATION_RUNS = 2_000;
 
 type Command =
   | {
@@ -126,14 +126,14 @@
 export const configurationTarget: FuzzTarget = {
   name: "configuration",
   mutations: Object.fromEntries(
-    Object.keys(mutants).map((name) => [name, MAX_MUTATION_RUNS]),
+    Object.keys(mutants).map((name) => [name, MAXIMUM_MUTATION_RUNS]),
   ),
   run: (settings) => {
     const { mutation } = settings;
     const rules = mutation === undefined ? acceptanceRules : mutants[mutation];
     if (rules === undefined) throw new RangeError(`no mutation ${mutation}`);
     const history = fc.array(command, {
-      maxLength: MAX_HISTORY_STEPS,
+      maxLength: MAXIMUM_HISTORY_STEPS,
       size: "max",
     });
     return Promise.resolve(
--- a/fuzz/configuration/simulation.ts
+++ b/fuzz/configuration/simulation.ts
@@ -62,7 +62,7 @@
   private readonly records: LogRecord[] = [];
   private readonly publications: (Publication | undefined)[] = [];
   private startOffset = 0;
-  private nonces = 0;
+  private nonceCount = 0;
   private stored: Checkpoint | undefined;
 
   private constructor(rules: AcceptanceRules) {
@@ -87,19 +87,19 @@
   }
 
   /** An operator publishes from a reader's state, which may be stale. */
-  publish(from: number, formatVersion: number, isValid: boolean): void {
-    const { chain, inForce, nextOffset } = this.readers[from].state;
+  publish(index: number, formatVersion: number, isValid: boolean): void {
+    const { chain, inForce, nextOffset } = this.readers[index].state;
     const head = chain.kind === "known" ? chain.head : null;
-    this.nonces += 1;
+    this.nonceCount += 1;
     const basedOn = head?.version ?? inForce?.version ?? null;
     this.append({
       kind: "publication",
       basedOn,
       seenThrough: nextOffset,
       formatVersion: basedOn === null ? BASELINE_FORMAT : formatVersion,
-      nonce: `n${this.nonces}`,
+      nonce: `n${this.nonceCount}`,
       author: "operator",
-      configuration: { isValid, value: this.nonces / 1000 },
+      configuration: { isValid, value: this.nonceCount / 1000 },
     });
   }
 
@@ -111,8 +111,8 @@
   }
 
   /** A writer creates a checkpoint and pauses before it appends it. */
-  storeCheckpoint(from: number): void {
-    this.stored = createCheckpoint(this.readers[from].state) ?? this.stored;
+  storeCheckpoint(index: number): void {
+    this.stored = createCheckpoint(this.readers[index].state) ?? this.stored;
   }
 
   appendStored(): void {
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -6,7 +6,7 @@
 import { queryProcess } from "../processes.js";
 import { ToolCommand } from "../tool-command.js";
 
-const POLL_MS = 200;
+const POLL_INTERVAL_MS = 200;
 const DEFAULT_WAIT_SECONDS = "60";
 
 /** Tells a process to drain and waits until it has ended. */
@@ -34,7 +34,7 @@
         this.print({ process: vm.name, ended: true }, `${vm.name} has ended`);
         return exitCodes.done;
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     this.print({ process: vm.name, ended: false }, `${vm.name} still runs`);
     return exitCodes.incomplete;
--- a/src/cli/commands/publish.ts
+++ b/src/cli/commands/publish.ts
@@ -25,7 +25,7 @@
 import { queryAllProcesses, type ProcessAnswer } from "../processes.js";
 import { readFile, ToolCommand } from "../tool-command.js";
 
-const POLL_MS = 200;
+const POLL_INTERVAL_MS = 200;
 const DEFAULT_WAIT_SECONDS = "30";
 
 /** Publishes a configuration and waits until it is in force everywhere. */
@@ -116,7 +116,7 @@
         (item) => "nonce" in item && item.nonce === publication.nonce,
       );
       if (verdict !== undefined) return verdict;
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     return raise(2003, { nonce: publication.nonce });
   }
@@ -153,7 +153,7 @@
       const progress = `waiting for ${missing.length} of ${answers.length}`;
       if (progress !== shown) this.progress(progress);
       shown = progress;
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     } while (Date.now() < deadline);
     const text = `version ${version} is not in force at: ${missing.join(", ")}`;
     this.print({ accepted: true, version, missing }, text);
--- a/src/configuration/check.ts
+++ b/src/configuration/check.ts
@@ -9,7 +9,7 @@
 import { configurationSchema, type Configuration } from "./schema.js";
 import type { ConfigurationProblem } from "./types.js";
 
-const MAX_SHOWN_VALUE_CHARACTERS = 80;
+const MAXIMUM_SHOWN_VALUE_CHARACTERS = 80;
 
 /** Left: all problems. Right: the configuration with defaults filled in. */
 export function validateConfiguration(
@@ -74,7 +74,7 @@
 
 function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
-  return JSON.stringify(value).slice(0, MAX_SHOWN_VALUE_CHARACTERS);
+  return JSON.stringify(value).slice(0, MAXIMUM_SHOWN_VALUE_CHARACTERS);
 }
 
 function checkReferences(configuration: Configuration): ConfigurationProblem[] {
--- a/src/configuration/relays.ts
+++ b/src/configuration/relays.ts
@@ -1,6 +1,6 @@
 /**
  * Selection of the processes that read the configuration stream from the log.
- * With 320 nodes and 820 runners, a long poll per process would mean over a
+ * With 320 entries and 820 runners, a long poll per process would mean over a
  * thousand open reads and as many answers to every publication. So only two
  * relays in each data centre read the log, and feed the other processes.
  */
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -7,8 +7,8 @@
 
 const NAME = /^[a-z0-9][a-z0-9._-]{0,62}$/;
 const SHA256_HEX = /^[0-9a-f]{64}$/;
-const MAX_DEADLINE_MS = 3_600_000;
-const MAX_PRIORITY = 9;
+const MAXIMUM_DEADLINE_MS = 3_600_000;
+const MAXIMUM_PRIORITY = 9;
 
 const name = z.string().regex(NAME);
 const positiveInteger = z.int().min(1);
@@ -30,11 +30,15 @@
   .strictObject({
     name,
     target: z.discriminatedUnion("kind", [modelTarget, serviceTarget]),
-    priority: z.int().min(0).max(MAX_PRIORITY).describe("0 is served first."),
+    priority: z
+      .int()
+      .min(0)
+      .max(MAXIMUM_PRIORITY)
+      .describe("0 is served first."),
     deadlineMs: z
       .int()
       .min(1)
-      .max(MAX_DEADLINE_MS)
+      .max(MAXIMUM_DEADLINE_MS)
       .describe("Longest time from acceptance to the end of the answer."),
     repeatable: z
       .boolean()
--- a/src/daemon/agent/agent-sessions.ts
+++ b/src/daemon/agent/agent-sessions.ts
@@ -56,7 +56,7 @@
   readonly writer: FrameWriter<AgentFrame>;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 /** Sent with 1404 when the agent has reached its attempt limit. */
 const FULL_RETRY_AFTER_MS = 200;
 
@@ -87,7 +87,7 @@
     this.runs = RunTasks.create(options.runner, this.gate);
     this.timer = setInterval(() => {
       this.gate.tick(performance.now());
-    }, TICK_MS);
+    }, TICK_INTERVAL_MS);
   }
 
   static create(options: AgentSessionsOptions): AgentSessions {
--- a/src/daemon/agent/agent.ts
+++ b/src/daemon/agent/agent.ts
@@ -20,7 +20,7 @@
 import { reportLoads } from "./load-reports.js";
 import { RunnerClient } from "./runner-client.js";
 
-/** Time for the last frames to leave before the connections close. */
+/** Time for the last frames to be sent before the connections close. */
 const FLUSH_DELAY_MS = 50;
 
 export async function startAgent(
--- a/src/daemon/agent/load-reports.ts
+++ b/src/daemon/agent/load-reports.ts
@@ -5,8 +5,9 @@
 import type { RunnerClient } from "./runner-client.js";
 
 /**
- * Fresher reports gain little: in measurements with stale reports, first tokens
- * came hardly later with a report every two seconds than with five a second.
+ * More frequent reports gain little: in measurements with stale reports, the
+ * time to first token was hardly longer with a report every two seconds than
+ * with five a second.
  */
 const REPORT_INTERVAL_MS = 500;
 
--- a/src/daemon/agent/runner-client.ts
+++ b/src/daemon/agent/runner-client.ts
@@ -30,7 +30,7 @@
   readonly deadlineMs: number;
 }
 
-const CONNECTIONS = 1024;
+const MAXIMUM_CONNECTIONS = 1024;
 const IDLE_TIMEOUT_MS = 120_000;
 const END_OF_STREAM = "[DONE]";
 const PIECE_BYTES = 65_536;
@@ -58,7 +58,7 @@
     kind: "model" | "service" = "model",
   ): RunnerClient {
     const pool = new HttpPool({
-      connections: CONNECTIONS,
+      connections: MAXIMUM_CONNECTIONS,
       pipelining: 1,
       connect: createConnector({}),
       bodyTimeout: IDLE_TIMEOUT_MS,
--- a/src/daemon/background-task.ts
+++ b/src/daemon/background-task.ts
@@ -3,7 +3,7 @@
 import { toFailure, type Emit } from "../internal.js";
 
 const INITIAL_BACKOFF_MS = 100;
-const MAX_BACKOFF_MS = 2000;
+const MAXIMUM_BACKOFF_MS = 2000;
 
 export interface TaskOptions {
   readonly name: string;
@@ -24,17 +24,20 @@
       if (isAborted(signal)) return;
       const { number, message } = toFailure(error, 1215);
       emit(105, { task: name, error: number, reason: message });
-      backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
+      backoffMs = Math.min(backoffMs * 2, MAXIMUM_BACKOFF_MS);
     }
     await pause(backoffMs, signal);
   }
 }
 
 /** Waits, or returns early when the signal aborts. */
-export async function pause(ms: number, signal: AbortSignal): Promise<void> {
-  if (ms <= 0) return;
+export async function pause(
+  durationMs: number,
+  signal: AbortSignal,
+): Promise<void> {
+  if (durationMs <= 0) return;
   try {
-    await sleep(ms, undefined, { signal });
+    await sleep(durationMs, undefined, { signal });
   } catch {
     // Aborted: the caller checks the signal.
   }
--- a/src/daemon/balance/expert-balance.ts
+++ b/src/daemon/balance/expert-balance.ts
@@ -37,11 +37,17 @@
   readonly configuration: () => Configuration | undefined;
 }
 
-/** A switch delays one or two steps of a busy group; see measurements/expertmap. */
+/**
+ * A switch delays one or two steps of a busy group; see
+ * docs/measurements/expertmap.md.
+ */
 const MAP_SWITCH_SECONDS = 0.05;
 /** Experts that a rank has room to stage in addition to those in its slots. */
 const STAGING_EXPERTS_PER_RANK = 64;
-/** Timeout of a proposal: this multiple of the predicted transfer, plus a base. */
+/**
+ * Timeout of a proposal: this multiple of the predicted transfer time, plus a
+ * base.
+ */
 const TRANSFER_TIMEOUT_FACTOR = 4;
 const BASE_PROPOSAL_TIMEOUT_MS = 20_000;
 /** The engines' step reports don't attribute request tokens to ranks. */
@@ -58,7 +64,7 @@
   private readonly reportClient: ReportClient;
   private assembly: WindowAssembly | undefined;
   private planner: PlannerThread | undefined;
-  private plannerShape = "";
+  private plannerShapeKey = "";
   private isProposalPending = false;
   private reportedGroup = "";
 
@@ -98,7 +104,9 @@
     return { ...inForce.map, version: inForce.version };
   }
 
-  /** A group that forms again restarts its step numbers, so windows restart too. */
+  /**
+   * A group that forms again restarts its step numbers, so windows restart too.
+   */
   private resetOnNewGroup({ group }: StepReport): void {
     const name = `${group.number}/${group.author}`;
     if (name === this.reportedGroup) return;
@@ -182,11 +190,11 @@
     const { ranks, layers, experts, slotsPerRank } = group;
     const shape = { ranks, layers, experts, slotsPerRank };
     const shapeKey = JSON.stringify(shape);
-    if (this.planner !== undefined && shapeKey === this.plannerShape) {
+    if (this.planner !== undefined && shapeKey === this.plannerShapeKey) {
       return this.planner;
     }
     const previousPlanner = this.planner;
-    this.plannerShape = shapeKey;
+    this.plannerShapeKey = shapeKey;
     this.assembly = WindowAssembly.create(ranks);
     const newPlanner = PlannerThread.create(
       { shape },
--- a/src/daemon/bounded-output.ts
+++ b/src/daemon/bounded-output.ts
@@ -21,7 +21,7 @@
 }
 
 /** Memory limit while a reader stalls; some seconds of a busy entry's lines. */
-export const MAX_BUFFERED_BYTES = 512 * 1024;
+export const MAXIMUM_BUFFERED_BYTES = 512 * 1024;
 /** Lines are buffered for this long and share one write. */
 const FLUSH_DELAY_MS = 50;
 
@@ -46,7 +46,7 @@
 
   /** Buffers one line, including its line break. */
   write(line: string): void {
-    if (this.bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+    if (this.bufferedBytes + line.length > MAXIMUM_BUFFERED_BYTES) {
       this.droppedLines += 1;
       return;
     }
--- a/src/daemon/configuration/follower.ts
+++ b/src/daemon/configuration/follower.ts
@@ -43,7 +43,7 @@
 const CHECKPOINT_CHECK_INTERVAL_MS = 5000;
 
 /** An older VM list is read again; if that fails, the relays stay the same. */
-const VM_LIST_MAX_AGE_MS = 5000;
+const MAXIMUM_VM_LIST_AGE_MS = 5000;
 
 export interface FollowerOptions {
   readonly context: ProcessContext;
@@ -62,7 +62,9 @@
   private logOutageStartedAtMs: number | undefined;
   private vms: readonly Vm[] = [];
   private vmsReadAtMs = Number.NEGATIVE_INFINITY;
-  /** Every process reads the VM list here; each problem in it is reported once. */
+  /**
+   * Every process reads the VM list here; each problem in it is reported once.
+   */
   private readonly vmListFindings: RecordFindings;
 
   private constructor(private readonly options: FollowerOptions) {
@@ -149,7 +151,7 @@
   }
 
   private async refreshVms(): Promise<void> {
-    if (Date.now() - this.vmsReadAtMs < VM_LIST_MAX_AGE_MS) return;
+    if (Date.now() - this.vmsReadAtMs < MAXIMUM_VM_LIST_AGE_MS) return;
     this.vmsReadAtMs = Date.now();
     try {
       this.setVms(await readVmList(this.options.vmList, this.vmListFindings));
@@ -174,7 +176,9 @@
       .sort((a, b) => names.indexOf(a.name) - names.indexOf(b.name));
   }
 
-  /** Tries relays in turn; returns whether one that reads the log was followed. */
+  /**
+   * Tries relays in turn; returns whether one that reads the log was followed.
+   */
   private async followFirstRelay(
     relays: readonly Vm[],
     signal: AbortSignal,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -113,7 +113,9 @@
     return true;
   }
 
-  /** Stops all tasks. The role closes its own parts between this and disposal. */
+  /**
+   * Stops all tasks. The role closes its own parts between this and disposal.
+   */
   endTasks(): void {
     this.stopController.abort();
   }
--- a/src/daemon/entry/backend-directory.ts
+++ b/src/daemon/entry/backend-directory.ts
@@ -7,7 +7,7 @@
 import type { RunnerSession, Sessions } from "./sessions.js";
 
 /** The list itself lags by seconds, so faster polling shows nothing new. */
-const LIST_INTERVAL_MS = 500;
+const LIST_POLL_INTERVAL_MS = 500;
 
 export interface Backend {
   readonly vm: Vm;
@@ -21,7 +21,7 @@
 
 export class BackendDirectory {
   private readonly vms = new Map<string, Vm>();
-  private liveEntries = 1;
+  private liveEntryCount = 1;
 
   private constructor(private readonly options: BackendDirectoryOptions) {}
 
@@ -33,7 +33,7 @@
    * Number of live entries on the list, including this one; lags by seconds.
    */
   get entryCount(): number {
-    return this.liveEntries;
+    return this.liveEntryCount;
   }
 
   list(): Backend[] {
@@ -58,9 +58,9 @@
       const entries = vms.filter(
         ({ role, state }) => role === "entry" && state === "live",
       );
-      this.liveEntries = Math.max(1, entries.length);
+      this.liveEntryCount = Math.max(1, entries.length);
       this.removeUnlisted(new Set(backends.map(({ name }) => name)));
-      await pause(LIST_INTERVAL_MS, signal);
+      await pause(LIST_POLL_INTERVAL_MS, signal);
     }
   }
 
--- a/src/daemon/entry/claim-tasks.ts
+++ b/src/daemon/entry/claim-tasks.ts
@@ -21,9 +21,9 @@
 import type { ProcessContext } from "../process-context.js";
 
 const LONG_POLL_MS = 2000;
-const READ_RETRY_MS = 200;
-const ACTIVE_TICK_MS = 10;
-const IDLE_TICK_MS = 100;
+const READ_RETRY_INTERVAL_MS = 200;
+const ACTIVE_TICK_INTERVAL_MS = 10;
+const IDLE_TICK_INTERVAL_MS = 100;
 
 /** The next step of a call: dispatch it, attach to an attempt or refuse it. */
 export type ClaimStep = Extract<
@@ -110,7 +110,7 @@
           continue;
         }
         this.onReadFailed(shard, readError.message);
-        await pause(READ_RETRY_MS, signal);
+        await pause(READ_RETRY_INTERVAL_MS, signal);
       }
     }
   }
@@ -119,7 +119,10 @@
     while (!signal.aborted) {
       this.performAll(this.coordinator.tick(Date.now()));
       const isIdle = this.coordinator.isIdle;
-      await pause(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS, signal);
+      await pause(
+        isIdle ? IDLE_TICK_INTERVAL_MS : ACTIVE_TICK_INTERVAL_MS,
+        signal,
+      );
     }
   }
 
--- a/src/daemon/entry/entry.ts
+++ b/src/daemon/entry/entry.ts
@@ -14,7 +14,7 @@
 import type { AnswerWriter, CallerRequest } from "./caller-request.js";
 
 /** Interval of drain checks, and time for the last bytes to be sent. */
-const DRAIN_POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 export async function startEntry(
   settings: EntrySettings,
@@ -98,11 +98,11 @@
     let cutRequests = 0;
     while (!this.sessions.isDrained) {
       if (Date.now() < deadline) cutRequests = this.inFlight;
-      await pause(DRAIN_POLL_MS, this.core.signal);
+      await pause(DRAIN_POLL_INTERVAL_MS, this.core.signal);
     }
     if (Date.now() < deadline) cutRequests = 0;
-    // Lets the last bytes of the last answers leave.
-    await pause(DRAIN_POLL_MS, this.core.signal);
+    // Leaves time for the last bytes of the last answers to be sent.
+    await pause(DRAIN_POLL_INTERVAL_MS, this.core.signal);
     this.context.emit(103, { cutRequests });
   }
 
--- a/src/daemon/entry/open-request.ts
+++ b/src/daemon/entry/open-request.ts
@@ -39,11 +39,11 @@
   const promptTokens = isModel
     ? Math.ceil(prompt.length / CHARACTERS_PER_TOKEN)
     : costTokens;
-  const limit = costTokens - promptTokens;
-  const output = outputs.estimateTokens(
+  const maximumOutputTokens = costTokens - promptTokens;
+  const outputTokens = outputs.estimateTokens(
     callerRequest.account,
     callerRequest.profile.name,
-    limit,
+    maximumOutputTokens,
   );
   return {
     callerRequest,
@@ -60,7 +60,7 @@
       callerRequest,
       account,
       promptTokens,
-      output,
+      outputTokens,
       settings,
     ),
   };
@@ -70,7 +70,7 @@
   callerRequest: CallerRequest,
   account: ClientAccount | undefined,
   promptTokens: number,
-  output: number,
+  outputTokens: number,
   { stepMs, prefillMsPerToken }: EntrySettings["placement"],
 ): AdmissionRequest {
   const { profile } = callerRequest;
@@ -84,8 +84,8 @@
     pool: poolOfProfile(profile),
     profile: profile.name,
     priority: profile.priority,
-    costTokens: promptTokens + output,
-    serviceMs: promptTokens * prefillMsPerToken + output * stepMs,
+    costTokens: promptTokens + outputTokens,
+    serviceMs: promptTokens * prefillMsPerToken + outputTokens * stepMs,
     arrivedAtMs,
     deadlineAtMs: arrivedAtMs + (callerRequest.deadlineAtMs - Date.now()),
     queue: profile.queue,
--- a/src/daemon/entry/request-dispatcher.ts
+++ b/src/daemon/entry/request-dispatcher.ts
@@ -39,7 +39,7 @@
  * other entries shows only in load reports. It is a tenth of the shortest time
  * to first token that callers see.
  */
-const TICK_MS = 10;
+const TICK_INTERVAL_MS = 10;
 /**
  * Ticks between runner syncs; placement may learn of a new session this late.
  */
@@ -47,7 +47,7 @@
 /**
  * A replacement VM takes seconds to start, so earlier retries would fail too.
  */
-const NO_RUNNER_RETRY_MS = 1000;
+const NO_RUNNER_RETRY_AFTER_MS = 1000;
 
 export class RequestDispatcher implements Disposable {
   private readonly openRequests = new Map<string, OpenRequest>();
@@ -94,7 +94,7 @@
     });
     this.timer = setInterval(() => {
       this.tick();
-    }, TICK_MS);
+    }, TICK_INTERVAL_MS);
   }
 
   static create(options: RequestDispatcherOptions): RequestDispatcher {
@@ -190,7 +190,7 @@
     queueMicrotask(() => {
       this.refuse(openRequest.callerRequest.id, {
         error,
-        retryAfterMs: NO_RUNNER_RETRY_MS,
+        retryAfterMs: NO_RUNNER_RETRY_AFTER_MS,
       });
     });
     return true;
--- a/src/daemon/entry/request-reader.ts
+++ b/src/daemon/entry/request-reader.ts
@@ -21,6 +21,7 @@
 const ADAPTER_HEADER = "x-model-adapter";
 const VERSION_HEADER = "x-model-version";
 const SERVICE_PREFIX = "/services/";
+/** Estimate, also applied to the characters of a prompt. */
 const BYTES_PER_TOKEN = 4;
 const DEFAULT_OUTPUT_TOKENS = 256;
 const MAXIMUM_OUTPUT_TOKENS = 1_000_000;
@@ -127,7 +128,7 @@
   if (target.kind !== "model" || completion.model !== target.model) {
     raise(1204, { model: completion.model.slice(0, 100) });
   }
-  const output =
+  const outputTokens =
     completion.max_completion_tokens ??
     completion.max_tokens ??
     DEFAULT_OUTPUT_TOKENS;
@@ -139,7 +140,7 @@
     model: completion.model,
     streamed: completion.stream === true,
     prompt,
-    costTokens: Math.ceil(prompt.length / BYTES_PER_TOKEN) + output,
+    costTokens: Math.ceil(prompt.length / BYTES_PER_TOKEN) + outputTokens,
   };
 }
 
--- a/src/daemon/entry/sessions.ts
+++ b/src/daemon/entry/sessions.ts
@@ -63,7 +63,7 @@
   agentIncarnation: string;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 export class Sessions implements AsyncDisposable {
   private readonly machine: EntrySessions;
@@ -89,7 +89,7 @@
     });
     this.timer = setInterval(() => {
       this.machine.tick(performance.now());
-    }, TICK_MS);
+    }, TICK_INTERVAL_MS);
   }
 
   static create(options: SessionsOptions): Sessions {
--- a/src/daemon/event-log.ts
+++ b/src/daemon/event-log.ts
@@ -21,7 +21,7 @@
 import { LogRateLimiter } from "./log-rate-limiter.js";
 
 /** About 2 MB, or some minutes of a busy entry. */
-const MAX_RECENT_EVENTS = 4096;
+const MAXIMUM_RECENT_EVENTS = 4096;
 
 export interface TimelineEvent {
   readonly process: string;
@@ -79,7 +79,9 @@
     return new EventLog(process, clock, level, writeOut);
   }
 
-  /** Flushes the output before the process ends; gives up on a stalled reader. */
+  /**
+   * Flushes the output before the process ends; gives up on a stalled reader.
+   */
   async close(): Promise<void> {
     await this.output.close();
   }
@@ -126,6 +128,6 @@
 
   private storeRecent(event: TimelineEvent): void {
     this.recentEvents[this.nextIndex] = event;
-    this.nextIndex = (this.nextIndex + 1) % MAX_RECENT_EVENTS;
+    this.nextIndex = (this.nextIndex + 1) % MAXIMUM_RECENT_EVENTS;
   }
 }
--- a/src/daemon/expert-map/engine-client.ts
+++ b/src/daemon/expert-map/engine-client.ts
@@ -1,4 +1,6 @@
-/** HTTP client for the engine's expert maps, weights, step reports and orders. */
+/**
+ * HTTP client for the engine's expert maps, weights, step reports and orders.
+ */
 import { Agent as HttpPool } from "undici";
 import { z } from "zod";
 import {
@@ -133,7 +135,10 @@
     return parse(answerSchema, body);
   }
 
-  /** Uploads part of an expert's weights; returns how many bytes the engine holds. */
+  /**
+   * Uploads part of an expert's weights; returns how many bytes the engine
+   * holds.
+   */
   async putWeight(
     { rank, layer, expert }: ExpertWeightId,
     offset: number,
--- a/src/daemon/expert-map/expert-maps.ts
+++ b/src/daemon/expert-map/expert-maps.ts
@@ -45,7 +45,7 @@
 }
 
 const SHAPE_POLL_INTERVAL_MS = 200;
-const MEMBERS_INTERVAL_MS = 1_000;
+const MEMBERS_POLL_INTERVAL_MS = 1_000;
 /** A part this small uploads in milliseconds, and a failed one costs little. */
 const WEIGHT_PART_BYTES = 1024 * 1024;
 const FIRST_VERSION = 1;
@@ -98,7 +98,9 @@
     return this.task?.mapInForce;
   }
 
-  /** First member of the group; undefined while it or its host:port is unknown. */
+  /**
+   * First member of the group; undefined while it or its host:port is unknown.
+   */
   get leader():
     { readonly name: string; readonly address: string } | undefined {
     const name = this.task?.engineState?.members.at(0)?.member;
@@ -249,7 +251,7 @@
       } catch {
         // The VM list is unavailable: the group keeps its members.
       }
-      await pause(MEMBERS_INTERVAL_MS, signal);
+      await pause(MEMBERS_POLL_INTERVAL_MS, signal);
     }
   }
 
--- a/src/daemon/expert-map/map-log.ts
+++ b/src/daemon/expert-map/map-log.ts
@@ -49,7 +49,9 @@
     return new MapLog(log, group);
   }
 
-  /** The highest version recorded; undefined if none or the log is unavailable. */
+  /**
+   * The highest version recorded; undefined if none or the log is unavailable.
+   */
   async read(): Promise<VersionedMap | undefined> {
     const signal = AbortSignal.timeout(READ_TIMEOUT_MS);
     let newest: VersionedMap | undefined;
@@ -74,7 +76,9 @@
     return newest;
   }
 
-  /** Appends newer versions at once and the current one again before it expires. */
+  /**
+   * Appends newer versions at once and the current one again before it expires.
+   */
   async appendUntilAborted(
     current: () => VersionedMap | undefined,
     signal: AbortSignal,
--- a/src/daemon/expert-map/map-task.ts
+++ b/src/daemon/expert-map/map-task.ts
@@ -57,8 +57,8 @@
 const TICK_INTERVAL_MS = 20;
 const IDLE_READ_INTERVAL_MS = 250;
 const STEP_POLL_INTERVAL_MS = 250;
-/** Reports more steps behind the newest one than this are missed. */
-const MAX_LATE_STEPS = 100;
+/** Reports that lag the newest step by more than this aren't read any more. */
+const MAXIMUM_LATE_STEPS = 100;
 
 export class MapTask {
   private readonly groupAgent: GroupAgent;
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Proposes a map to the group; resolves once the outcome is known here. Throws
-   * 1602, 1603, 1604 or 1606 if the map wasn't put to the vote.
+   * Proposes a map to the group; resolves once the outcome is known here.
+   * Throws 1602, 1603, 1604 or 1606 if the map wasn't put to the vote.
    */
   async proposeMap(
     map: ExpertMap,
@@ -150,7 +150,7 @@
     this.reportedGroup = group;
     const from = Math.max(
       0,
-      Math.max(0, ...this.seenSteps.values()) - MAX_LATE_STEPS,
+      Math.max(0, ...this.seenSteps.values()) - MAXIMUM_LATE_STEPS,
     );
     for (const [key, step] of this.seenSteps) {
       if (step < from) this.seenSteps.delete(key);
--- a/src/daemon/expert-map/peers.ts
+++ b/src/daemon/expert-map/peers.ts
@@ -14,7 +14,9 @@
 import { channelOptions, clientCredentials } from "../transport.js";
 import { toBody } from "./wire.js";
 
-/** Messages are repeated until they have taken effect, so any one may be lost. */
+/**
+ * Messages are repeated until they have taken effect, so any one may be lost.
+ */
 const DELIVERY_TIMEOUT_MS = 1_000;
 
 interface Peer {
--- a/src/daemon/expert-map/weight-client.ts
+++ b/src/daemon/expert-map/weight-client.ts
@@ -1,7 +1,8 @@
 /**
- * Client for the platform's weight store, `GET /weights/{model}/{layer}/{expert}`
- * with a byte range. It answers 503 during an outage and 429 above its rate
- * limit, both with a Retry-After header if it knows the delay.
+ * Client for the platform's weight store:
+ * `GET /weights/{model}/{layer}/{expert}` with a byte range. The store answers
+ * 503 during an outage and 429 above its rate limit, both with a Retry-After
+ * header if it knows the delay.
  */
 import { request } from "undici";
 import {
@@ -13,10 +14,10 @@
 } from "../../internal.js";
 
 const READ_TIMEOUT_MS = 10_000;
-const PARTIAL_CONTENT = 206;
+const HTTP_PARTIAL_CONTENT = 206;
 const MS_PER_SECOND = 1_000;
 
-/** Throws 1608, with `retryAfterMs` in its detail. */
+/** Throws 1608, with `retryAfterMs` in its detail if the store answered. */
 export async function readWeights(
   store: string,
   model: string,
@@ -31,7 +32,8 @@
     });
     const data = Buffer.from(await response.body.arrayBuffer());
     const { statusCode, headers } = response;
-    if (statusCode === PARTIAL_CONTENT && data.length === length) return data;
+    if (statusCode === HTTP_PARTIAL_CONTENT && data.length === length)
+      return data;
     const retryAfterMs = Number(headers["retry-after"] ?? 0) * MS_PER_SECOND;
     return raise(1608, { status: statusCode, retryAfterMs });
   } catch (error) {
--- a/src/daemon/log-rate-limiter.ts
+++ b/src/daemon/log-rate-limiter.ts
@@ -42,7 +42,10 @@
     return false;
   }
 
-  /** Starts a new period if one has passed; returns the lines omitted in the last. */
+  /**
+   * Starts a new period if the current one has passed; returns the number of
+   * lines of each event that were omitted in it.
+   */
   startPeriodIfDue(): readonly (readonly [
     number: EventNumber,
     omitted: number,
--- a/src/daemon/operators-server.ts
+++ b/src/daemon/operators-server.ts
@@ -23,7 +23,7 @@
 }
 
 const METRICS_PATH = "/metrics";
-const NOT_FOUND = 404;
+const HTTP_NOT_FOUND = 404;
 
 type Handler = (
   url: URL,
@@ -90,7 +90,7 @@
   collectDefaultMetrics({ register: metrics });
   const server = createServer((request, response) => {
     if (request.url === METRICS_PATH) void sendMetrics(response, metrics);
-    else response.writeHead(NOT_FOUND).end();
+    else response.writeHead(HTTP_NOT_FOUND).end();
   });
   return listen(server, settings);
 }
--- a/src/daemon/orders/order-task.ts
+++ b/src/daemon/orders/order-task.ts
@@ -34,7 +34,7 @@
 
 /** Long-poll timeout; the log responds earlier as soon as it has a record. */
 const LONG_POLL_MS = 2_000;
-const TICK_MS = 50;
+const TICK_INTERVAL_MS = 50;
 /** Delay before an order that the engine didn't confirm in time is retried. */
 const RETRY_INTERVAL_MS = 5_000;
 /** Lower bound of the call timeout; after a timeout the outcome is unknown. */
@@ -112,7 +112,7 @@
       ) {
         this.perform(this.executor.submit(order, now));
       }
-      await pause(TICK_MS, signal);
+      await pause(TICK_INTERVAL_MS, signal);
     }
   }
 
--- a/src/platform/json-value.ts
+++ b/src/platform/json-value.ts
@@ -6,7 +6,7 @@
 import { raise, toFailure } from "../internal.js";
 
 /** An error names at most this many schema violations. */
-const MAX_REPORTED_ISSUES = 3;
+const MAXIMUM_REPORTED_ISSUES = 3;
 
 /**
  * Fatal, because invalid UTF-8 would otherwise decode to replacement characters
@@ -40,7 +40,7 @@
 
 function describeIssues(issues: readonly z.core.$ZodIssue[]): string {
   return issues
-    .slice(0, MAX_REPORTED_ISSUES)
+    .slice(0, MAXIMUM_REPORTED_ISSUES)
     .map(({ path, message }) => `${path.join(".")}: ${message}`)
     .join("; ");
 }
--- a/src/platform/log-client.ts
+++ b/src/platform/log-client.ts
@@ -37,7 +37,7 @@
 const HTTP_GONE = 410;
 const APPEND_TIMEOUT_MS = 5000;
 const READ_TIMEOUT_MS = 5000;
-const DEFAULT_LIMIT = 500;
+const DEFAULT_PAGE_RECORDS = 500;
 
 const pageSchema = z.object({
   startOffset: z.number(),
@@ -79,7 +79,7 @@
 
   /** Throws 1902 if the log no longer holds `from`. */
   async read(stream: string, options: ReadOptions): Promise<LogPage> {
-    const { from, limit = DEFAULT_LIMIT, waitMs = 0, signal } = options;
+    const { from, limit = DEFAULT_PAGE_RECORDS, waitMs = 0, signal } = options;
     const query = `from=${from}&limit=${limit}&waitMs=${waitMs}`;
     const answer = await this.call(`/streams/${stream}?${query}`, {
       method: "GET",
--- a/src/platform/record-findings.ts
+++ b/src/platform/record-findings.ts
@@ -28,9 +28,9 @@
  * Findings remembered. Beyond that the least recently seen one is evicted, and
  * reported again if it recurs.
  */
-export const MAX_REMEMBERED_FINDINGS = 1000;
+export const MAXIMUM_REMEMBERED_FINDINGS = 1000;
 /** Longer keys and reasons are cut in the log. */
-const MAX_LOGGED_CHARACTERS = 200;
+const MAXIMUM_LOGGED_CHARACTERS = 200;
 
 export class RecordFindings {
   /** Digests of stream, key and content, least recently seen first. */
@@ -63,8 +63,8 @@
     const { stream, key, reason } = finding;
     this.inputs.emit(193, {
       stream,
-      key: key.slice(0, MAX_LOGGED_CHARACTERS),
-      reason: reason.slice(0, MAX_LOGGED_CHARACTERS),
+      key: key.slice(0, MAXIMUM_LOGGED_CHARACTERS),
+      reason: reason.slice(0, MAXIMUM_LOGGED_CHARACTERS),
     });
   }
 
@@ -76,7 +76,7 @@
   }
 
   private evictOldest(): void {
-    if (this.known.size <= MAX_REMEMBERED_FINDINGS) return;
+    if (this.known.size <= MAXIMUM_REMEMBERED_FINDINGS) return;
     const [oldest] = this.known;
     this.known.delete(oldest);
   }
--- a/src/platform/topic-follower.ts
+++ b/src/platform/topic-follower.ts
@@ -15,7 +15,7 @@
  * shorter. Half a second detects the store's recovery well within the two
  * seconds in which registrations and configurations must take effect.
  */
-const MAX_BACKOFF_MS = 500;
+const MAXIMUM_BACKOFF_MS = 500;
 const HISTORY_LOST_ERROR = 1902;
 const ANSWER_OUTDATED_ERROR = 1904;
 
@@ -143,7 +143,9 @@
     this.cause = cause;
   }
 
-  /** Reports a rolled-back store before the records read from it are applied. */
+  /**
+   * Reports a rolled-back store before the records read from it are applied.
+   */
   private updateEra(era: number): void {
     const previous = this.era;
     this.era = era;
@@ -219,7 +221,7 @@
   private async backOff(): Promise<void> {
     const exponential =
       INITIAL_BACKOFF_MS * 2 ** Math.min(this.failures - 1, 8);
-    const maximum = Math.min(MAX_BACKOFF_MS, exponential);
+    const maximum = Math.min(MAXIMUM_BACKOFF_MS, exponential);
     await pause(maximum * (0.5 + this.options.random() / 2), this.signal);
   }
 }
--- a/src/platform/vm-list-client.ts
+++ b/src/platform/vm-list-client.ts
@@ -8,7 +8,7 @@
 import { checkValue } from "./json-value.js";
 import type { RecordFindings } from "./record-findings.js";
 
-const TIMEOUT_MS = 3000;
+const READ_TIMEOUT_MS = 3000;
 
 /** Stream name in reports of unusable list items. */
 const VM_LIST_STREAM = "vms";
@@ -32,8 +32,8 @@
 
 /**
  * Returns the valid VMs of the list. An invalid one is skipped and reported to
- * `findings`, so that it doesn't hide the others. Throws 1903 if the answer
- * isn't a list.
+ * `findings`, so that it doesn't hide the others. Throws 1903 if the list can't
+ * be read or the answer isn't a list.
  */
 export async function readVmList(
   listAddress: string,
@@ -41,7 +41,7 @@
 ): Promise<readonly Vm[]> {
   try {
     const response = await request(`${listAddress}/vms`, {
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(READ_TIMEOUT_MS),
     });
     const { vms } = checkValue(listSchema, await response.body.json());
     return vms.flatMap((vm) => parseVm(vm, findings));
--- a/src/shared/hybrid-clock.ts
+++ b/src/shared/hybrid-clock.ts
@@ -18,7 +18,7 @@
  * Readings further ahead of the wall clock are ignored, so that one peer with a
  * wrong clock doesn't advance the clocks of all others.
  */
-const MAX_PEER_LEAD_MS = 60_000;
+const MAXIMUM_PEER_LEAD_MS = 60_000;
 
 export class HybridClock {
   private last: ClockReading = { physicalMs: 0, counter: 0 };
@@ -36,7 +36,8 @@
   /** Merges the reading of a received message. */
   observe(reading: ClockReading | undefined): ClockReading {
     if (reading === undefined) return this.read();
-    if (reading.physicalMs > this.now() + MAX_PEER_LEAD_MS) return this.read();
+    if (reading.physicalMs > this.now() + MAXIMUM_PEER_LEAD_MS)
+      return this.read();
     const later = compareReadings(reading, this.last) > 0 ? reading : this.last;
     return this.advance(later);
   }
--- a/tests/configuration/follower-site.ts
+++ b/tests/configuration/follower-site.ts
@@ -20,7 +20,7 @@
 import { startVmList, type VmListStandIn } from "../../standins/vm-list.js";
 
 const POLL_INTERVAL_MS = 5;
-const MAX_WAIT_MS = 8_000;
+const MAXIMUM_WAIT_MS = 8_000;
 
 export interface RunningFollower extends AsyncDisposable {
   readonly name: string;
@@ -70,12 +70,12 @@
   };
 }
 
-/** Polls the condition and throws after `MAX_WAIT_MS`. */
+/** Polls the condition and throws after `MAXIMUM_WAIT_MS`. */
 export async function until(
   what: string,
   condition: () => boolean,
 ): Promise<void> {
-  const deadline = Date.now() + MAX_WAIT_MS;
+  const deadline = Date.now() + MAXIMUM_WAIT_MS;
   while (!condition()) {
     if (Date.now() > deadline) throw new Error(`timed out: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
@@ -111,15 +111,20 @@
   const server = new Server(channelOptions);
   server.addService(ConfigurationFeedService, follower.feed.service);
   const address = await bindServer(server, settings);
-  const stop = new AbortController();
-  const { signal } = stop;
+  const stopController = new AbortController();
+  const { signal } = stopController;
   const tasks = [
-    runTask({ name: "follow", emit, signal, run: (s) => follower.run(s) }),
+    runTask({
+      name: "follow",
+      emit,
+      signal,
+      run: (taskSignal) => follower.run(taskSignal),
+    }),
     runTask({
       name: "feed",
       emit,
       signal,
-      run: (s) => follower.sendHeartbeats(s),
+      run: (taskSignal) => follower.sendHeartbeats(taskSignal),
     }),
   ];
   return {
@@ -128,7 +133,7 @@
     dataCentre,
     follower,
     async [Symbol.asyncDispose]() {
-      stop.abort();
+      stopController.abort();
       server.forceShutdown();
       await Promise.all(tasks);
     },
--- a/tests/daemon/answer-framing.test.ts
+++ b/tests/daemon/answer-framing.test.ts
@@ -25,7 +25,7 @@
   }, WRITE_DELAY_MS);
 }
 
-describe("a broken answer without a length or chunked encoding", () => {
+describe("a broken answer without a length or chunked coding", () => {
   it("is reported as broken to a caller that reads late", async () => {
     // Guards against a truncated answer that looks complete to the caller. If
     // the reset arrives while the last bytes are unread, an event loop that
--- a/tests/daemon/bounded-output.test.ts
+++ b/tests/daemon/bounded-output.test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import {
   BoundedOutput,
-  MAX_BUFFERED_BYTES,
+  MAXIMUM_BUFFERED_BYTES,
 } from "../../src/daemon/bounded-output.js";
 import { LogRateLimiter } from "../../src/daemon/log-rate-limiter.js";
 import { describe, it } from "../support/describe.js";
@@ -28,12 +28,12 @@
     });
     output.write(LINE);
     output.flush();
-    const lines = 3 * Math.ceil(MAX_BUFFERED_BYTES / LINE.length);
+    const lines = 3 * Math.ceil(MAXIMUM_BUFFERED_BYTES / LINE.length);
     for (let line = 0; line < lines; line += 1) output.write(LINE);
     output.flush();
     assert.is(written.length, 1, "one write at a time");
     resume();
-    const kept = Math.floor(MAX_BUFFERED_BYTES / LINE.length);
+    const kept = Math.floor(MAXIMUM_BUFFERED_BYTES / LINE.length);
     assert.is(dropped, lines - kept);
     assert.is(written.at(1)?.length, kept * LINE.length);
     resume();
--- a/tests/daemon/runner-client.test.ts
+++ b/tests/daemon/runner-client.test.ts
@@ -44,7 +44,9 @@
   readonly error: number;
 }
 
-/** The answer that the agent reads from these bytes and this connection's end. */
+/**
+ * The answer that the agent reads from these bytes and this connection's end.
+ */
 async function readAnswer(
   head: readonly string[],
   body: string,
@@ -90,7 +92,7 @@
 const GZIP_ENCODING = "transfer-encoding: gzip";
 
 describe("the answer of a backend server", () => {
-  it("has a marked end with a length, with chunked encoding or without a body", async () => {
+  it("has a marked end with a length, with chunked coding or without a body", async () => {
     const marked = [
       await readAnswer(["HTTP/1.0 200 OK", "content-length: 2"], "ab"),
       await readAnswer(
--- a/tests/platform/record-findings.test.ts
+++ b/tests/platform/record-findings.test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import {
-  MAX_REMEMBERED_FINDINGS,
+  MAXIMUM_REMEMBERED_FINDINGS,
   RecordFindings,
 } from "../../src/platform/record-findings.js";
 import { describe, it } from "../support/describe.js";
@@ -54,12 +54,12 @@
     // of the others.
     const reported = new ReportedFindings();
     reported.note("stays");
-    for (let index = 0; index < 2 * MAX_REMEMBERED_FINDINGS; index += 1) {
+    for (let index = 0; index < 2 * MAXIMUM_REMEMBERED_FINDINGS; index += 1) {
       reported.note(`passing ${index}`);
       reported.note("stays");
     }
-    assert.is(reported.eventCount, 2 * MAX_REMEMBERED_FINDINGS + 1);
+    assert.is(reported.eventCount, 2 * MAXIMUM_REMEMBERED_FINDINGS + 1);
     reported.note("passing 0");
-    assert.is(reported.eventCount, 2 * MAX_REMEMBERED_FINDINGS + 2);
+    assert.is(reported.eventCount, 2 * MAXIMUM_REMEMBERED_FINDINGS + 2);
   });
 });
