--- a/fuzz/claims/claims.ts
+++ b/fuzz/claims/claims.ts
@@ -46,8 +46,8 @@
 const agent = fc.nat({ max: AGENTS - 1 });
 const kind = <K extends ClaimsCommand["kind"]>(value: K): fc.Arbitrary<K> =>
   fc.constant(value);
-const shortWait = fc.constantFrom(0, 1, 2, 5, 20, 120, 600, 1_200, 2_500);
-const longWait = fc.constantFrom(120_000, 700_000, 4_000_000);
+const shortWaitMs = fc.constantFrom(0, 1, 2, 5, 20, 120, 600, 1_200, 2_500);
+const longWaitMs = fc.constantFrom(120_000, 700_000, 4_000_000);
 
 const command: fc.Arbitrary<ClaimsCommand> = fc.oneof(
   {
@@ -64,9 +64,12 @@
   },
   {
     weight: 8,
-    arbitrary: fc.record({ kind: kind("advance"), ms: shortWait }),
+    arbitrary: fc.record({ kind: kind("advance"), ms: shortWaitMs }),
+  },
+  {
+    weight: 1,
+    arbitrary: fc.record({ kind: kind("advance"), ms: longWaitMs }),
   },
-  { weight: 1, arbitrary: fc.record({ kind: kind("advance"), ms: longWait }) },
   {
     weight: 2,
     arbitrary: fc.record({ kind: kind("outage"), isDown: fc.boolean() }),
@@ -82,7 +85,7 @@
   },
   {
     weight: 2,
-    arbitrary: fc.record({ kind: kind("delay-dispatch"), ms: shortWait }),
+    arbitrary: fc.record({ kind: kind("delay-dispatch"), ms: shortWaitMs }),
   },
   { weight: 2, arbitrary: fc.record({ kind: kind("pause"), entry }) },
   { weight: 2, arbitrary: fc.record({ kind: kind("resume"), entry }) },
--- a/fuzz/claims/log.ts
+++ b/fuzz/claims/log.ts
@@ -8,7 +8,7 @@
 export interface AppendFaults {
   /** The record is stored, but the writer gets no answer. */
   readonly loseAnswer: boolean;
-  /** Additional time until the record is stored; no answer is sent then. */
+  /** Extra time until the record is stored; unless 0, no answer is sent. */
   readonly delayMs: number;
   readonly duplicate: boolean;
 }
--- a/fuzz/claims/simulation.ts
+++ b/fuzz/claims/simulation.ts
@@ -381,7 +381,8 @@
       const agent = this.agents.find(({ name }) => name === claim.agent);
       const nowMs = this.time.nowMs;
       const { agentIncarnation, attempt } = claim;
-      // A session ends with its agent, so no frame reaches the next incarnation.
+      // A session ends with its agent, so no frame reaches the next
+      // incarnation.
       if (agent?.incarnation !== agentIncarnation || !agent.isReachable) {
         this.recordOutcome(call, "unknown");
         reply((coordinator) => coordinator.end(call, nowMs));
@@ -511,10 +512,10 @@
     account,
     idempotencyKey: key,
   };
-  const limits = { deadlineMs: CALL_TIMEOUT_MS, fromIndex: 0, resumeOf: "" };
+  const fields = { deadlineMs: CALL_TIMEOUT_MS, fromIndex: 0, resumeOf: "" };
   gate.receive(
     connection,
-    { kind: "dispatch", sequence: 1, attempt, call, ...limits },
+    { kind: "dispatch", sequence: 1, attempt, call, ...fields },
     nowMs,
   );
 }
--- a/fuzz/membership/directory-simulation.ts
+++ b/fuzz/membership/directory-simulation.ts
@@ -94,12 +94,12 @@
     this.directory.replace(servers);
   }
 
-  setStoreDown(isAway: boolean): void {
+  setStoreDown(isDown: boolean): void {
     this.beginOtherStep();
-    if (!this.isStoreDown && isAway) this.outageStartsMs.push(this.nowMs);
-    if (this.isStoreDown && !isAway) this.outageEndsMs.push(this.nowMs);
-    this.isStoreDown = isAway;
-    if (isAway) this.directory.onStoreLost();
+    if (!this.isStoreDown && isDown) this.outageStartsMs.push(this.nowMs);
+    if (this.isStoreDown && !isDown) this.outageEndsMs.push(this.nowMs);
+    this.isStoreDown = isDown;
+    if (isDown) this.directory.onStoreLost();
     else this.directory.onStoreRestored(this.nowMs);
     // Runs timers that are due, as nothing was read after the outage.
     this.time.advance(0);
@@ -125,8 +125,8 @@
 
   private addRemoval(id: string): void {
     const restoredAtMs = this.outageEndsMs.at(-1) ?? Number.NEGATIVE_INFINITY;
-    const from = this.isStoreDown ? this.nowMs : restoredAtMs;
-    const outageGraceEndsMs = from + this.lapseGraceMs;
+    const fromMs = this.isStoreDown ? this.nowMs : restoredAtMs;
+    const outageGraceEndsMs = fromMs + this.lapseGraceMs;
     this.events.push({
       kind: "removed",
       atMs: this.nowMs,
--- a/fuzz/membership/incarnations.ts
+++ b/fuzz/membership/incarnations.ts
@@ -16,13 +16,13 @@
 import { DirectorySimulation } from "./directory-simulation.js";
 
 const IDS = ["a", "b", "c"] as const;
-const FIRST_START = 1_790_000_000_000;
-const MAX_INCARNATION = 3;
-const MAX_HEARTBEAT = 6;
+const FIRST_START_MS = 1_790_000_000_000;
+const MAXIMUM_INCARNATION = 3;
+const MAXIMUM_HEARTBEAT = 6;
 const ADDRESSES_PER_HOST = 2;
-const MAX_STEPS = 40;
+const MAXIMUM_STEPS = 40;
 /** All waits of a history together stay below `INACTIVE_RETENTION_MS`. */
-const MAX_WAIT_MS = 1200;
+const MAXIMUM_WAIT_MS = 1200;
 
 /**
  * `known-starts`: start times are known and each id has its own addresses;
@@ -35,7 +35,7 @@
   readonly id: (typeof IDS)[number];
   readonly incarnation: number;
   readonly heartbeat: number;
-  readonly place: number;
+  readonly addressIndex: number;
   readonly isLeaving: boolean;
 }
 
@@ -43,7 +43,7 @@
   | { readonly kind: "register"; readonly registration: Registration }
   | { readonly kind: "remove"; readonly id: string }
   | { readonly kind: "replace"; readonly registrations: Registration[] }
-  | { readonly kind: "outage"; readonly isAway: boolean }
+  | { readonly kind: "outage"; readonly isDown: boolean }
   | { readonly kind: "wait"; readonly durationMs: number };
 
 export interface IncarnationHistory {
@@ -53,9 +53,9 @@
 
 const registration: fc.Arbitrary<Registration> = fc.record({
   id: fc.constantFrom(...IDS),
-  incarnation: fc.nat({ max: MAX_INCARNATION }),
-  heartbeat: fc.integer({ min: 1, max: MAX_HEARTBEAT }),
-  place: fc.nat({ max: ADDRESSES_PER_HOST - 1 }),
+  incarnation: fc.nat({ max: MAXIMUM_INCARNATION }),
+  heartbeat: fc.integer({ min: 1, max: MAXIMUM_HEARTBEAT }),
+  addressIndex: fc.nat({ max: ADDRESSES_PER_HOST - 1 }),
   isLeaving: fc.constantFrom(false, false, false, true),
 });
 
@@ -88,14 +88,14 @@
     weight: 1,
     arbitrary: fc.record({
       kind: fc.constant("outage" as const),
-      isAway: fc.boolean(),
+      isDown: fc.boolean(),
     }),
   },
   {
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant("wait" as const),
-      durationMs: fc.integer({ min: 1, max: MAX_WAIT_MS }),
+      durationMs: fc.integer({ min: 1, max: MAXIMUM_WAIT_MS }),
     }),
   },
 );
@@ -108,22 +108,22 @@
   ),
   steps: fc.array(command, {
     minLength: 1,
-    maxLength: MAX_STEPS,
+    maxLength: MAXIMUM_STEPS,
     size: "max",
   }),
 });
 
 function serverOf(
   mode: Mode,
-  { id, incarnation, heartbeat, place, isLeaving }: Registration,
+  { id, incarnation, heartbeat, addressIndex, isLeaving }: Registration,
 ): BackendServer {
   const host = mode === "shared-addresses" ? "shared-addresses" : id;
   return {
     id,
     startedAtMs:
-      mode === "unknown-starts" ? undefined : FIRST_START + incarnation,
+      mode === "unknown-starts" ? undefined : FIRST_START_MS + incarnation,
     service: "model",
-    address: `${host}:${place}`,
+    address: `${host}:${addressIndex}`,
     dataCentre: "here",
     // Shows which registration is the active one.
     slots: heartbeat,
@@ -151,7 +151,7 @@
       );
       return;
     case "outage":
-      simulation.setStoreDown(step.isAway);
+      simulation.setStoreDown(step.isDown);
       return;
     case "wait":
       simulation.advance(step.durationMs);
--- a/fuzz/membership/oracle.ts
+++ b/fuzz/membership/oracle.ts
@@ -33,13 +33,13 @@
   const own = events.filter((event) => idOf(event) === id);
   const starts = successiveStarts(own);
   const newest = starts.at(-1);
-  const firstAt = own.findIndex((event) => isOfIncarnation(event, newest));
+  const firstIndex = own.findIndex((event) => isOfIncarnation(event, newest));
   const current = newestRecord(own, newest);
   if (current === undefined || current.server.isLeaving) {
     return { server: undefined, starts };
   }
   const replacedAtMs =
-    starts.length > 1 ? own[firstAt].atMs : Number.NEGATIVE_INFINITY;
+    starts.length > 1 ? own[firstIndex].atMs : Number.NEGATIVE_INFINITY;
   const isGone = own.slice(current.index + 1).some((event) => {
     const endMs = endsAtMs(event, replacedAtMs);
     const isKept = endMs > event.atMs;
--- a/fuzz/orders-simulation.ts
+++ b/fuzz/orders-simulation.ts
@@ -29,7 +29,7 @@
 /** Lag of a slow reader of the log, ms. */
 const READER_LAG_MS = 400;
 const LEASE_MS = 600;
-const LOG_READ_TICKS = 5;
+const LOG_READ_INTERVAL_TICKS = 5;
 
 export interface OrdersSimulationSettings {
   readonly seed: number;
@@ -71,7 +71,7 @@
   confirmations = 0;
   private readonly random: Random;
   private readonly records: LogRecord[] = [];
-  private readonly landedAt: number[] = [];
+  private readonly appendedAtMs: number[] = [];
   private readonly holders: readonly Holder[];
   private readonly tasksByTime = new Map<number, (() => void)[]>();
   private readonly values: Partial<Record<OrderKind, string>> = {};
@@ -165,7 +165,8 @@
     if (this.holders.every((item) => this.mayAct(item))) {
       this.violations.push(`two holders act at ${this.now}`);
     }
-    if ((this.now / TICK_MS) % LOG_READ_TICKS === 0) this.agentReadsLog();
+    if ((this.now / TICK_MS) % LOG_READ_INTERVAL_TICKS === 0)
+      this.agentReadsLog();
     this.carryOut(this.executor.tick(this.now));
   }
 
@@ -174,14 +175,17 @@
     this.tasksByTime.set(at, [...(this.tasksByTime.get(at) ?? []), task]);
   }
 
-  private append(record: LogRecord, landed?: (offset: number) => void): void {
+  private append(
+    record: LogRecord,
+    onAppended?: (offset: number) => void,
+  ): void {
     const isFaulty = this.logDownUntil > this.now || this.slowUntil > this.now;
     if (isFaulty && this.random() < 0.5) return;
     const delay = this.slowUntil > this.now ? randomBelow(this.random, 40) : 1;
     this.after(delay, () => {
       this.records.push(record);
-      this.landedAt.push(this.now);
-      landed?.(this.records.length - 1);
+      this.appendedAtMs.push(this.now);
+      onAppended?.(this.records.length - 1);
     });
   }
 
@@ -192,7 +196,7 @@
     const seen = this.now - (isLagging ? READER_LAG_MS : 0);
     if (this.logDownUntil <= this.now) {
       for (; holder.position < this.records.length; holder.position += 1) {
-        if (this.landedAt[holder.position] > seen) break;
+        if (this.appendedAtMs[holder.position] > seen) break;
         const record = this.records[holder.position];
         if (record.kind === "order") continue;
         holder.lease.observe(record, holder.position, this.now);
@@ -229,8 +233,8 @@
     const order: Order = { ...record.order, fencing: offset };
     // If engines check fencing tokens, a holder may send orders without the
     // agent.
-    const direct = this.settings.checksFencing && this.random() < 0.5;
-    if (direct) {
+    const isDirect = this.settings.checksFencing && this.random() < 0.5;
+    if (isDirect) {
       this.after(randomBelow(this.random, EFFECT_TICKS), () => {
         this.applyOrder(order);
       });
@@ -277,10 +281,10 @@
     const delay = hasFault ? EFFECT_TICKS - 1 : late;
     const lost = hasFault || (slow && this.random() < 0.3);
     let settled = false;
-    const settle = (give: () => readonly OrderEffect[]): void => {
+    const settle = (takeEffects: () => readonly OrderEffect[]): void => {
       if (settled || generation !== this.executorGeneration) return;
       settled = true;
-      this.carryOut(give());
+      this.carryOut(takeEffects());
     };
     this.after(delay, () => {
       const accepted = call.kind === "read" || this.applyOrder(call.order);
--- a/fuzz/orders.ts
+++ b/fuzz/orders.ts
@@ -12,7 +12,11 @@
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
 type Command =
-  | { readonly kind: "order"; readonly value: string; readonly late: number }
+  | {
+      readonly kind: "order";
+      readonly value: string;
+      readonly delayTicks: number;
+    }
   | { readonly kind: "pause"; readonly holder: number; readonly ticks: number }
   | { readonly kind: "log"; readonly ticks: number }
   | { readonly kind: "slow"; readonly reader: number; readonly ticks: number }
@@ -21,7 +25,7 @@
 
 interface Step {
   readonly command: Command;
-  readonly wait: number;
+  readonly waitTicks: number;
 }
 
 export interface OrdersHistory {
@@ -34,7 +38,7 @@
 const RECOVERY_TICKS = 250;
 
 const ticks = fc.integer({ min: 1, max: 150 });
-const late = fc.oneof(fc.constant(1), fc.integer({ min: 1, max: 200 }));
+const delayTicks = fc.oneof(fc.constant(1), fc.integer({ min: 1, max: 200 }));
 
 const command: fc.Arbitrary<Command> = fc.oneof(
   {
@@ -42,7 +46,7 @@
     arbitrary: fc.record({
       kind: fc.constant("order" as const),
       value: fc.constantFrom("x", "y", "z"),
-      late,
+      delayTicks,
     }),
   },
   fc.record({
@@ -70,7 +74,7 @@
   seed: fc.nat(),
   checksFencing: fc.boolean(),
   steps: fc.array(
-    fc.record({ command, wait: fc.integer({ min: 0, max: 60 }) }),
+    fc.record({ command, waitTicks: fc.integer({ min: 0, max: 60 }) }),
     { minLength: 1, maxLength: 12 },
   ),
 });
@@ -79,7 +83,7 @@
   const until = (count: number): number => simulation.now + count * TICK_MS;
   switch (next.kind) {
     case "order":
-      simulation.order(next.value, next.late);
+      simulation.order(next.value, next.delayTicks);
       return;
     case "pause":
       simulation.pause(next.holder, until(next.ticks));
@@ -116,9 +120,9 @@
     },
   });
   simulation.run(START_TICKS);
-  for (const { command: next, wait } of steps) {
+  for (const { command: next, waitTicks } of steps) {
     applyCommand(simulation, next);
-    simulation.run(wait);
+    simulation.run(waitTicks);
   }
   simulation.endFaults();
   simulation.run(RECOVERY_TICKS);
--- a/fuzz/suspects/suspects.ts
+++ b/fuzz/suspects/suspects.ts
@@ -19,10 +19,10 @@
 const DIGESTS = ["a", "b"] as const;
 const RUNNERS = 4;
 const START_MS = 1_790_000_000_000;
-const MAX_RUN_MS = 3000;
+const MAXIMUM_RUN_MS = 3000;
 /** All waits of a history together stay below `SUSPECT_RETENTION_MS`. */
-const MAX_WAIT_MS = 1500;
-const MAX_STEPS = 30;
+const MAXIMUM_WAIT_MS = 1500;
+const MAXIMUM_STEPS = 30;
 /** Downtime of a runner after a crash, ms. */
 const DOWN_MS = 1500;
 
@@ -60,7 +60,7 @@
       kind: fc.constant("crash" as const),
       digest,
       runner: fc.nat({ max: RUNNERS - 1 }),
-      runMs: fc.integer({ min: 1, max: MAX_RUN_MS }),
+      runMs: fc.integer({ min: 1, max: MAXIMUM_RUN_MS }),
       entries: fc.uniqueArray(entry, { minLength: 1, maxLength: ENTRIES }),
     }),
   },
@@ -84,13 +84,13 @@
     weight: 4,
     arbitrary: fc.record({
       kind: fc.constant("wait" as const),
-      durationMs: fc.integer({ min: 1, max: MAX_WAIT_MS }),
+      durationMs: fc.integer({ min: 1, max: MAXIMUM_WAIT_MS }),
     }),
   },
 );
 
 const history: fc.Arbitrary<History> = fc.record({
-  steps: fc.array(command, { minLength: 1, maxLength: MAX_STEPS }),
+  steps: fc.array(command, { minLength: 1, maxLength: MAXIMUM_STEPS }),
 });
 
 /** A crash or a completion that an entry can know of. */
--- a/src/claims/keys.ts
+++ b/src/claims/keys.ts
@@ -7,7 +7,7 @@
 const REQUIRED_UUID_VERSION = 7;
 const TIMESTAMP_HEX_DIGITS = 12;
 const HEXADECIMAL_RADIX = 16;
-const MAXIMUM_REPORTED_KEY_LENGTH = 80;
+const MAXIMUM_REPORTED_KEY_CHARACTERS = 80;
 
 /**
  * Number of log streams that claims are distributed over. It must never change:
@@ -38,7 +38,7 @@
 ): Either<ApricotdeckError, IdempotencyKey> {
   if (!validate(text) || version(text) !== REQUIRED_UUID_VERSION) {
     return Left(
-      failure(1301, { found: text.slice(0, MAXIMUM_REPORTED_KEY_LENGTH) }),
+      failure(1301, { found: text.slice(0, MAXIMUM_REPORTED_KEY_CHARACTERS) }),
     );
   }
   const key = text.toLowerCase();
@@ -67,7 +67,10 @@
   return Right({ key, createdAtMs });
 }
 
-/** FNV-1a: distributes evenly enough, and every release computes the same. */
+/**
+ * FNV-1a hash: distributes keys evenly enough, and every release computes the
+ * same shard.
+ */
 export function shardOf({ account, key }: CallIdentity): number {
   let hash = 0x811c9dc5;
   for (const byte of new TextEncoder().encode(`${account}\n${key}`)) {
--- a/src/membership/register-interval.ts
+++ b/src/membership/register-interval.ts
@@ -12,8 +12,7 @@
  * readings, ms.
  */
 const RECOVERY_PERIOD_MS = 5000;
-/** Lower limit of the interval, ms. */
-const MIN_INTERVAL_MS = 200;
+const MINIMUM_INTERVAL_MS = 200;
 
 /**
  * Time to the next reading, ms. Two readings and the grace period of a replaced
@@ -26,7 +25,7 @@
   sinceOutageMs: number,
 ): number {
   const allowedMs = Math.max(
-    MIN_INTERVAL_MS,
+    MINIMUM_INTERVAL_MS,
     (drainMs - REPLACEMENT_GRACE_MS) / 2,
   );
   return sinceOutageMs < RECOVERY_PERIOD_MS
--- a/src/membership/runner-groups.ts
+++ b/src/membership/runner-groups.ts
@@ -28,14 +28,14 @@
 /** Group name of runners that belong to no known group. */
 export const NO_GROUP = "";
 
-const MAX_RANKS = 4096;
+const MAXIMUM_RANKS = 4096;
 
 const valueSchema = z.object({
   service: z.string().min(1),
   epoch: z.int(),
   addresses: z
     .array(z.string().refine(isHostPort, "not a host:port"))
-    .max(MAX_RANKS),
+    .max(MAXIMUM_RANKS),
 });
 
 export function encodeGroupNote(note: GroupNote): Buffer {
@@ -63,7 +63,7 @@
 }
 
 /** Services with fewer groups aren't divided by group. */
-const MIN_GROUPS = 2;
+const MINIMUM_GROUPS = 2;
 
 export class RunnerGroups {
   private readonly epochs = new Map<string, number>();
@@ -105,7 +105,7 @@
     const note = this.byAddress.get(address);
     if (note === undefined) return NO_GROUP;
     const groups = this.groupsByService.get(note.service)?.size ?? 0;
-    return groups < MIN_GROUPS ? NO_GROUP : note.name;
+    return groups < MINIMUM_GROUPS ? NO_GROUP : note.name;
   }
 
   private countGroups(): void {
--- a/src/membership/slow-runners.ts
+++ b/src/membership/slow-runners.ts
@@ -119,7 +119,7 @@
   }
 
   /**
-   * Notes of addresses that are no longer used are never withdrawn, only
+   * Notes of addresses that are no longer used are never withdrawn; they only
    * expire.
    */
   private removeExpired(): void {
--- a/src/session/agent-run.ts
+++ b/src/session/agent-run.ts
@@ -9,7 +9,7 @@
   readonly call: Call;
   /** Attempt that currently receives the answer. */
   attempt: string;
-  /** Connection of that attempt; undefined while no entry reads. */
+  /** Connection of that attempt; undefined while no entry reads the answer. */
   connection: number | undefined;
   detachedAt: number;
   /** Rises with each resend; engine data for older streams is dropped. */
--- a/src/session/agent-runs.ts
+++ b/src/session/agent-runs.ts
@@ -215,7 +215,10 @@
     return attempt;
   }
 
-  /** Removes finished runs, and cancels unread ones, after their retention time. */
+  /**
+   * Removes finished runs, and cancels repeatable ones that no entry reads,
+   * after the answer retention time.
+   */
   tick(now: number): void {
     const { answerRetentionMs } = this.limits;
     for (const run of this.byId.values()) {
@@ -293,7 +296,8 @@
 
   private sendEnd(run: Run): void {
     const { attempt, pieceCount: count, checksum } = run;
-    // A resend replaces the head, so it belongs to the answer that ended.
+    // A resend replaces the head, so `run.head` belongs to the answer that
+    // ended.
     const isEndMarked = run.head?.isEndMarked ?? false;
     this.send(run, {
       kind: "end",
@@ -305,10 +309,11 @@
   }
 
   /**
-   * Drops buffered pieces when many long answers have no reader. Finished
-   * answers go first, oldest first, and repeatable ones before others: work
-   * that is repeatable can run again, and the engine can resend either. The
-   * sessions keep their started attempts, so replies to a close stay correct.
+   * Drops buffered pieces when the total limit is exceeded, as when many long
+   * answers have no reader. Finished answers go first, oldest first, and
+   * repeatable ones before others: repeatable work can run again, and the
+   * engine can resend the answers of both. The sessions keep their started
+   * attempts, so replies to a close stay correct.
    */
   private freeBuffers(): void {
     const target = this.limits.totalBufferBytes / 2;
--- a/src/session/entry-types.ts
+++ b/src/session/entry-types.ts
@@ -116,7 +116,7 @@
   readonly attempt?: string;
   /** Agent incarnation required by a claim; any other is an error. */
   readonly agentIncarnation?: string;
-  /** Attempt of another entry; its run is attached to, not started anew. */
+  /** Attempt of another entry whose run to attach to; no run is started. */
   readonly attachTo?: string;
 }
 
--- a/src/session/request-state.ts
+++ b/src/session/request-state.ts
@@ -33,7 +33,7 @@
   isClosedByEvent: boolean;
   dispatchCount: number;
   resumeCount: number;
-  /** When the wait for a session to resume on ends. */
+  /** When the request stops waiting for a session that can resume its run. */
   giveUpAt: number;
 }
 
--- a/src/suspects/crash-evidence.ts
+++ b/src/suspects/crash-evidence.ts
@@ -41,7 +41,10 @@
   return successive;
 }
 
-/** Evidence of the first `crashes` successive runs; there must be as many. */
+/**
+ * Evidence of the first `crashes` successive runs; there must be at least that
+ * many.
+ */
 export function crashEvidenceOf(
   suspect: LostRunHistory,
   crashes: number,
--- a/src/suspects/suspect-requests.ts
+++ b/src/suspects/suspect-requests.ts
@@ -2,9 +2,9 @@
  * Decides which requests are withheld because they crash backend servers.
  *
  * Every request that runs on a server when it crashes is a suspect. The cause
- * shows by crashing the next server as well; a harmless request shows by
- * completing. Overlapping runs count once: when many servers fail at the same
- * moment, a request that is sent often runs on several of them.
+ * is recognized when it crashes the next server as well, a harmless request
+ * when it completes. Overlapping runs count once: when many servers fail at the
+ * same moment, a request that is sent often runs on several of them.
  */
 import type { Now } from "../internal.js";
 import {
@@ -34,8 +34,8 @@
  * and other entries still run what it withholds.
  */
 export const CRASHES_UNTIL_WITHHELD_ISOLATED = 3;
-/** Number of completed requests that are remembered, the newest ones. */
-const MAX_COMPLETED = 2000;
+/** Only the newest completed requests are remembered. */
+const MAXIMUM_COMPLETED_REQUESTS = 2000;
 /** How long a suspect of one crash is remembered, ms. */
 export const SUSPECT_RETENTION_MS = 60_000;
 /** How long a request is withheld, ms; fixing its cause takes a release. */
@@ -44,22 +44,23 @@
  * Reports of crashes arrive within this time unless the reporting entry or this
  * one was isolated, ms.
  */
-const MAX_REPORT_AGE_MS = 5000;
+const MAXIMUM_REPORT_AGE_MS = 5000;
 /** Reports of one crash by several entries differ by less than this, ms. */
 const SAME_CRASH_WINDOW_MS = 1000;
 /**
- * Number of requests kept; beyond it, the one that changed longest ago and
- * isn't withheld is dropped.
+ * Beyond this number, the suspect that changed longest ago and isn't withheld
+ * is dropped.
  */
-export const MAX_SUSPECTS = 1000;
+export const MAXIMUM_SUSPECTS = 1000;
 /**
- * Number of suspicions and of acquittals that an entry publishes, the newest
- * ones; also the number of runs kept per request.
+ * Maximum length of each list in the record that an entry publishes:
+ * suspicions, acquittals and the runs of one request. The newest are kept.
  */
-export const MAX_PUBLISHED = 64;
+export const MAXIMUM_RECORD_ITEMS = 64;
 
 /**
- * Origin of a record: this entry, another one read at the start, or a new one.
+ * Origin of a record. "own": this entry. "start": another entry, read when this
+ * one started. "live": another entry, read later.
  */
 export type RecordSource = "own" | "start" | "live";
 
@@ -146,15 +147,15 @@
   /**
    * Merges the observations of another entry, or of this one before a restart.
    * A crash that is reported late wasn't known here in the meantime, so
-   * completions of the request weren't published; merging it would withhold a
-   * request without that check. An entry that has just started merges
-   * everything, since the others did know.
+   * completions of the request weren't published as acquittals; merging it
+   * would withhold a request that may have completed since. An entry that has
+   * just started merges everything, since the others knew of the crash.
    */
   merge({ suspicions, acquittals }: SuspectRecord, source: RecordSource): void {
     const isOwn = source === "own";
-    const maxAgeMs =
-      source === "live" ? MAX_REPORT_AGE_MS : WITHHOLD_DURATION_MS;
-    const sinceMs = this.now() - maxAgeMs;
+    const maximumAgeMs =
+      source === "live" ? MAXIMUM_REPORT_AGE_MS : WITHHOLD_DURATION_MS;
+    const sinceMs = this.now() - maximumAgeMs;
     for (const { digest, runs } of suspicions) {
       for (const run of runs.map((one) => this.clampToNow(one))) {
         if (run.lostAtMs >= sinceMs) this.addRun(digest, { ...run, isOwn });
@@ -177,8 +178,8 @@
       if (isOwnAcquittal) acquittals.push({ digest, atMs });
     }
     return {
-      suspicions: suspicions.slice(-MAX_PUBLISHED),
-      acquittals: acquittals.slice(-MAX_PUBLISHED),
+      suspicions: suspicions.slice(-MAXIMUM_RECORD_ITEMS),
+      acquittals: acquittals.slice(-MAXIMUM_RECORD_ITEMS),
     };
   }
 
@@ -190,10 +191,7 @@
     );
   }
 
-  /**
-   * Infinite if the request hasn't reached the number of crashes that withholds
-   * it.
-   */
+  /** `NO_EVIDENCE` if the request has had too few crashes to be withheld. */
   private evidence(digest: string): CrashEvidence {
     if (this.crashesOf(digest) < CRASHES_UNTIL_WITHHELD) return NO_EVIDENCE;
     const known = this.suspects.get(digest) ?? UNKNOWN_SUSPECT;
@@ -203,7 +201,7 @@
   private addCompletion(digest: string): void {
     this.completed.delete(digest);
     this.completed.add(digest);
-    if (this.completed.size <= MAX_COMPLETED) return;
+    if (this.completed.size <= MAXIMUM_COMPLETED_REQUESTS) return;
     const [oldest] = this.completed;
     this.completed.delete(oldest);
   }
@@ -221,7 +219,7 @@
     const known = this.suspects.get(digest) ?? UNKNOWN_SUSPECT;
     if (known.runs.some((one) => isSameRun(one, run))) return;
     if (this.now() - run.lostAtMs >= WITHHOLD_DURATION_MS) return;
-    const runs = [...known.runs, run].slice(-MAX_PUBLISHED);
+    const runs = [...known.runs, run].slice(-MAXIMUM_RECORD_ITEMS);
     this.store(digest, { ...known, runs });
   }
 
@@ -243,7 +241,7 @@
   private store(digest: string, suspect: Suspect): void {
     this.suspects.delete(digest);
     this.suspects.set(digest, suspect);
-    if (this.suspects.size <= MAX_SUSPECTS) return;
+    if (this.suspects.size <= MAXIMUM_SUSPECTS) return;
     const oldest = [...this.suspects.keys()].find(
       (one) => !this.isWithheld(one),
     );
--- a/src/suspects/suspect-sync.ts
+++ b/src/suspects/suspect-sync.ts
@@ -9,7 +9,10 @@
 import { decodeJson } from "../platform/json-value.js";
 import type { KeyedRecord, KeyedWriter } from "../platform/keyed-topic.js";
 import type { RecordFindings } from "../platform/record-findings.js";
-import { MAX_PUBLISHED, type SuspectRequests } from "./suspect-requests.js";
+import {
+  MAXIMUM_RECORD_ITEMS,
+  type SuspectRequests,
+} from "./suspect-requests.js";
 import type { SuspectRecord } from "./types.js";
 
 /** Stream name under which unusable records are reported. */
@@ -17,17 +20,16 @@
 
 /** Delay that collects all suspects of one crash in one record, ms. */
 const BATCH_DELAY_MS = 20;
-/** Minimum time between two writes, ms. */
-const MIN_PUBLISH_INTERVAL_MS = 250;
+const MINIMUM_PUBLISH_INTERVAL_MS = 250;
 /** Delay after a failed write, ms. */
 const RETRY_DELAY_MS = 1000;
-const MAX_RUNNER_ID_LENGTH = 128;
+const MAXIMUM_RUNNER_ID_CHARACTERS = 128;
 
 const digestSchema = z.string().regex(/^[\w-]{1,64}$/);
 const unixMsSchema = z.number().nonnegative();
 
 const runSchema = z.object({
-  runner: z.string().max(MAX_RUNNER_ID_LENGTH),
+  runner: z.string().max(MAXIMUM_RUNNER_ID_CHARACTERS),
   sentAtMs: unixMsSchema,
   lostAtMs: unixMsSchema,
 });
@@ -37,13 +39,13 @@
     .array(
       z.object({
         digest: digestSchema,
-        runs: z.array(runSchema).max(MAX_PUBLISHED),
+        runs: z.array(runSchema).max(MAXIMUM_RECORD_ITEMS),
       }),
     )
-    .max(MAX_PUBLISHED),
+    .max(MAXIMUM_RECORD_ITEMS),
   acquittals: z
     .array(z.object({ digest: digestSchema, atMs: unixMsSchema }))
-    .max(MAX_PUBLISHED),
+    .max(MAXIMUM_RECORD_ITEMS),
 });
 
 export function encodeSuspects(record: SuspectRecord): Buffer {
@@ -118,7 +120,7 @@
     try {
       await notes.put(name, encodeSuspects(record));
       this.setPublishFailing(false);
-      after(MIN_PUBLISH_INTERVAL_MS, () => {
+      after(MINIMUM_PUBLISH_INTERVAL_MS, () => {
         this.isScheduled = false;
         const isNewer = !isSameRecord(record, suspects.ownRecord());
         if (isNewer) this.schedulePublish();
--- a/tests/claims/at-most-once.test.ts
+++ b/tests/claims/at-most-once.test.ts
@@ -33,7 +33,7 @@
   readonly outcome: string | undefined;
   readonly retryAfter: string | null;
   /** Id of the attempt that the service ran. */
-  readonly ran: string | undefined;
+  readonly executedId: string | undefined;
 }
 
 /** Sends a non-repeatable order to one of the entries. */
@@ -54,7 +54,7 @@
   };
   const retryAfter = response.headers.get("retry-after");
   const outcome = body.error?.outcome;
-  return { status: response.status, outcome, retryAfter, ran: body.id };
+  return { status: response.status, outcome, retryAfter, executedId: body.id };
 }
 
 describe("non-repeatable calls in separate processes", () => {
@@ -93,7 +93,8 @@
 
     // The log is down. Another entry may have claimed the caller's key, so the
     // outcome is unknown; a call without a key didn't run. Both are refused
-    // after a bounded wait, and a repeat with the key succeeds after the outage.
+    // after a bounded wait, and a repeat with the key succeeds after the
+    // outage.
     site.log.faults.outage = true;
     const outageKey = uuidV7();
     const [keyed, keyless] = await Promise.all([
--- a/tests/claims/coordinator.test.ts
+++ b/tests/claims/coordinator.test.ts
@@ -93,8 +93,8 @@
   });
 
   describe("when the answer of an append is lost", () => {
-    // The append took effect, but the entry sees a failure and appends the claim
-    // again. The first copy wins; the second must change nothing.
+    // The append took effect, but the entry sees a failure and appends the
+    // claim again. The first copy wins; the second must change nothing.
     it("counts the duplicated claim once", () => {
       const coordinator = createEntry("e1");
       const batch = batchOf(coordinator.begin(request(), NOW_MS));
@@ -107,9 +107,9 @@
   });
 
   describe("during a log outage", () => {
-    // Nothing can be appended or read. Another entry may have claimed a caller's
-    // key, so its outcome is unknown; a key that this entry generated can't have
-    // been used elsewhere, so "not run" is correct.
+    // Nothing can be appended or read. Another entry may have claimed a
+    // caller's key, so its outcome is unknown; a key that this entry generated
+    // can't have been used elsewhere, so "not run" is correct.
     it("refuses with the correct outcome after a bounded wait", () => {
       const coordinator = createEntry("e1");
       coordinator.begin(request(), NOW_MS);
@@ -127,13 +127,13 @@
       const coordinator = createEntry("e1");
       const batch = batchOf(coordinator.begin(request(), NOW_MS));
       coordinator.tick(NOW_MS + WAIT_MS);
-      const landed = coordinator.onRead(
+      const lateRead = coordinator.onRead(
         SHARD,
         0,
         [record(0, batch)],
         NOW_MS + WAIT_MS,
       );
-      assert.not.ok(kinds(landed).includes("dispatch"));
+      assert.not.ok(kinds(lateRead).includes("dispatch"));
       const late = coordinator.tick(NOW_MS + WAIT_MS + 100);
       assert.equal(kinds(late), ["append"]);
       assert.is(batchOf(late).entries[0].kind, "release");
--- a/tests/fuzz/incarnations.test.ts
+++ b/tests/fuzz/incarnations.test.ts
@@ -19,14 +19,14 @@
     // second read must not postpone the time at which the runner is dropped.
     it("drops a runner on time when its removal is read twice", () => {
       const steps = [
-        { kind: "outage", isAway: true },
+        { kind: "outage", isDown: true },
         {
           kind: "register",
           registration: {
             id: "a",
             incarnation: 0,
             heartbeat: 1,
-            place: 0,
+            addressIndex: 0,
             isLeaving: false,
           },
         },
--- a/tests/fuzz/orders.test.ts
+++ b/tests/fuzz/orders.test.ts
@@ -26,9 +26,9 @@
     // conclude that the lease has expired and acquire it.
     it("grants no lease to a process that hasn't read the renewals", () => {
       const steps = [
-        { command: { kind: "slow", reader: 1, ticks: 43 }, wait: 42 },
-        { command: { kind: "slow", reader: 0, ticks: 6 }, wait: 0 },
-        { command: { kind: "restartAgent" }, wait: 5 },
+        { command: { kind: "slow", reader: 1, ticks: 43 }, waitTicks: 42 },
+        { command: { kind: "slow", reader: 0, ticks: 6 }, waitTicks: 0 },
+        { command: { kind: "restartAgent" }, waitTicks: 5 },
       ] as const;
       const input = { seed: 2028803871, checksFencing: false, steps };
       assert.equal(checkOrders(input), []);
--- a/tests/membership/directory-incarnations.test.ts
+++ b/tests/membership/directory-incarnations.test.ts
@@ -10,14 +10,14 @@
 import type { BackendServer } from "../../src/membership/types.js";
 import { describe, it } from "../support/describe.js";
 
-const FIRST = 1_790_000_000_000;
-const SECOND = FIRST + 5000;
-const THIRD = SECOND + 5000;
+const FIRST_START_MS = 1_790_000_000_000;
+const SECOND_START_MS = FIRST_START_MS + 5000;
+const THIRD_START_MS = SECOND_START_MS + 5000;
 
 function serverOf(fields: Partial<BackendServer>): BackendServer {
   return {
     id: "r1",
-    startedAtMs: FIRST,
+    startedAtMs: FIRST_START_MS,
     service: "model",
     address: "10.0.0.1:80",
     dataCentre: "here",
@@ -79,7 +79,7 @@
 }
 
 function describeServer({ id, startedAtMs }: BackendServer): string {
-  return `${id}@${(startedAtMs ?? FIRST) - FIRST}`;
+  return `${id}@${(startedAtMs ?? FIRST_START_MS) - FIRST_START_MS}`;
 }
 
 describe("directory, when a runner restarts under its id", () => {
@@ -93,8 +93,8 @@
         const fixture = new DirectoryFixture();
         fixture.register({});
         fixture.calls = [];
-        fixture.register({ startedAtMs: SECOND, heartbeat });
-        assert.is(fixture.startOf(), SECOND);
+        fixture.register({ startedAtMs: SECOND_START_MS, heartbeat });
+        assert.is(fixture.startOf(), SECOND_START_MS);
         assert.equal(fixture.calls, [
           "gone r1",
           "ended r1@0 by r1@5000",
@@ -108,7 +108,7 @@
         const fixture = new DirectoryFixture();
         fixture.register({});
         const address = "10.0.0.2:80";
-        fixture.register({ startedAtMs: SECOND, heartbeat, address });
+        fixture.register({ startedAtMs: SECOND_START_MS, heartbeat, address });
         assert.is(fixture.active.get("r1")?.address, address);
       });
     }
@@ -119,8 +119,8 @@
       const fixture = new DirectoryFixture();
       fixture.register({});
       fixture.register({ heartbeat: 501, isLeaving: true });
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
-      assert.is(fixture.startOf(), SECOND);
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("after the earlier one was removed", () => {
@@ -128,34 +128,38 @@
       fixture.register({});
       fixture.remove();
       fixture.calls = [];
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
-      assert.is(fixture.startOf(), SECOND);
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
+      assert.is(fixture.startOf(), SECOND_START_MS);
       assert.equal(fixture.calls, ["ended r1@0 by r1@5000", "server r1@5000"]);
     });
 
     it("from a reading of the whole register", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      const server = serverOf({ startedAtMs: SECOND, heartbeat: 1 });
+      const server = serverOf({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.directory.replace([server]);
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("and sends no requests to a later one that is already leaving", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1, isLeaving: true });
+      fixture.register({
+        startedAtMs: SECOND_START_MS,
+        heartbeat: 1,
+        isLeaving: true,
+      });
       assert.is(fixture.startOf(), undefined);
-      fixture.register({ startedAtMs: SECOND, heartbeat: 2 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 2 });
       assert.is(fixture.startOf(), undefined);
     });
 
     it("twice in a row", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 3 });
-      fixture.register({ startedAtMs: THIRD, heartbeat: 1 });
-      assert.is(fixture.startOf(), THIRD);
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 3 });
+      fixture.register({ startedAtMs: THIRD_START_MS, heartbeat: 1 });
+      assert.is(fixture.startOf(), THIRD_START_MS);
     });
   });
 
@@ -167,7 +171,7 @@
       const fixture = new DirectoryFixture();
       fixture.register({});
       const address = "10.0.0.2:80";
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1, address });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1, address });
       fixture.calls = [];
       fixture.register({ heartbeat: 501 });
       assert.is(fixture.active.get("r1")?.address, address);
@@ -177,10 +181,10 @@
     it("notice that it leaves comes late", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.register({ heartbeat: 501, isLeaving: true });
-      fixture.register({ startedAtMs: SECOND, heartbeat: 2 });
-      assert.is(fixture.startOf(), SECOND);
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 2 });
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("removal comes late, shortly after the later one began", () => {
@@ -190,27 +194,27 @@
       // start, so it is kept until it has had time to register again.
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.advance(REPLACEMENT_GRACE_MS - 1);
       fixture.remove();
-      assert.is(fixture.startOf(), SECOND);
-      fixture.register({ startedAtMs: SECOND, heartbeat: 2 });
+      assert.is(fixture.startOf(), SECOND_START_MS);
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 2 });
       fixture.advance(REPLACEMENT_GRACE_MS);
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("registration is in a reading of the whole register", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.directory.replace([serverOf({ heartbeat: 501 })]);
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("heartbeat comes after the later one was removed", () => {
       const fixture = new DirectoryFixture();
       fixture.register({});
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.advance(REPLACEMENT_GRACE_MS);
       fixture.remove();
       fixture.register({ heartbeat: 501 });
@@ -224,7 +228,7 @@
   it("drops a later incarnation that is removed right after its start and stays silent", () => {
     const fixture = new DirectoryFixture();
     fixture.register({});
-    fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+    fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
     fixture.remove();
     fixture.advance(REPLACEMENT_GRACE_MS);
     assert.is(fixture.startOf(), undefined);
@@ -233,7 +237,7 @@
   it("drops a later incarnation at once if it is removed after the grace period", () => {
     const fixture = new DirectoryFixture();
     fixture.register({});
-    fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+    fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
     fixture.advance(REPLACEMENT_GRACE_MS);
     fixture.remove();
     assert.is(fixture.startOf(), undefined);
@@ -243,9 +247,9 @@
     // The entry reads the later incarnation first, as the record of the earlier
     // one is late.
     const fixture = new DirectoryFixture();
-    fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+    fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
     fixture.register({ heartbeat: 500 });
-    assert.is(fixture.startOf(), SECOND);
+    assert.is(fixture.startOf(), SECOND_START_MS);
     assert.equal(fixture.calls, ["server r1@5000"]);
   });
 
@@ -259,7 +263,10 @@
   });
 
   describe("with records of a service that isn't configured", () => {
-    const foreign = { startedAtMs: THIRD, service: "nowhere" } as const;
+    const foreign = {
+      startedAtMs: THIRD_START_MS,
+      service: "nowhere",
+    } as const;
 
     it("loses the runner of that id only until it registers again", () => {
       // Another writer uses the runner's id with a start time and a heartbeat
@@ -272,16 +279,16 @@
       fixture.register({ ...foreign, heartbeat: 10_000 });
       assert.equal(fixture.calls, ["gone r1"]);
       fixture.register({ heartbeat: 501 });
-      assert.is(fixture.startOf(), FIRST);
+      assert.is(fixture.startOf(), FIRST_START_MS);
     });
 
     it("doesn't lose an address to them", () => {
       const fixture = new DirectoryFixture();
       fixture.register({ ...foreign, id: "r9" });
       fixture.register({});
-      assert.is(fixture.startOf(), FIRST);
+      assert.is(fixture.startOf(), FIRST_START_MS);
       fixture.register({ ...foreign, id: "r8" });
-      assert.is(fixture.startOf(), FIRST);
+      assert.is(fixture.startOf(), FIRST_START_MS);
       assert.not.ok(fixture.calls.some((line) => line.startsWith("ended")));
     });
   });
@@ -292,12 +299,12 @@
       // its records are treated as late. Without a time limit it would never
       // get requests.
       const fixture = new DirectoryFixture();
-      fixture.register({ startedAtMs: SECOND });
+      fixture.register({ startedAtMs: SECOND_START_MS });
       const address = "10.0.0.2:80";
       fixture.register({ heartbeat: 1, address });
       fixture.advance(INACTIVE_RETENTION_MS - 1);
       fixture.register({ heartbeat: 2, address });
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
       fixture.advance(1);
       fixture.register({ heartbeat: 3, address });
       assert.is(fixture.active.get("r1")?.address, address);
@@ -306,25 +313,25 @@
 
     it("does so after the known one has left", () => {
       const fixture = new DirectoryFixture();
-      fixture.register({ startedAtMs: SECOND, isLeaving: true });
+      fixture.register({ startedAtMs: SECOND_START_MS, isLeaving: true });
       fixture.advance(INACTIVE_RETENTION_MS);
       fixture.register({ heartbeat: 1 });
-      assert.is(fixture.startOf(), FIRST);
+      assert.is(fixture.startOf(), FIRST_START_MS);
     });
 
     it("keeps an incarnation that still registers", () => {
       const fixture = new DirectoryFixture();
-      fixture.register({ startedAtMs: SECOND, heartbeat: 1 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 1 });
       fixture.advance(INACTIVE_RETENTION_MS);
-      fixture.register({ startedAtMs: SECOND, heartbeat: 2 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 2 });
       fixture.register({ heartbeat: 900 });
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
   });
 
   it("forgets an inactive incarnation after its retention", () => {
     const fixture = new DirectoryFixture();
-    fixture.register({ startedAtMs: SECOND });
+    fixture.register({ startedAtMs: SECOND_START_MS });
     fixture.remove();
     assert.is(fixture.directory.inactiveCount, 1);
     fixture.advance(INACTIVE_RETENTION_MS);
@@ -341,14 +348,14 @@
       fixture.advance(8000);
       fixture.restoreStore();
       fixture.remove();
-      fixture.register({ startedAtMs: SECOND, heartbeat: 2 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 2 });
       fixture.advance(LAPSE_GRACE_MS);
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("drops an expired later incarnation in spite of a late heartbeat", () => {
       const fixture = new DirectoryFixture();
-      fixture.register({ startedAtMs: SECOND, heartbeat: 9 });
+      fixture.register({ startedAtMs: SECOND_START_MS, heartbeat: 9 });
       fixture.directory.onStoreLost();
       fixture.restoreStore();
       fixture.remove();
@@ -359,7 +366,11 @@
   });
 
   describe("at an address", () => {
-    const other = { id: "r2", startedAtMs: SECOND, heartbeat: 1 } as const;
+    const other = {
+      id: "r2",
+      startedAtMs: SECOND_START_MS,
+      heartbeat: 1,
+    } as const;
 
     it("ends the incarnation of another id that had it before", () => {
       const fixture = new DirectoryFixture();
@@ -380,7 +391,7 @@
       fixture.register({});
       fixture.register(other);
       fixture.register({ heartbeat: 501 });
-      assert.is(fixture.startOf("r2"), SECOND);
+      assert.is(fixture.startOf("r2"), SECOND_START_MS);
       assert.is(fixture.startOf(), undefined);
     });
 
@@ -402,12 +413,12 @@
 
     it("in some records, keeps the known start time", () => {
       const fixture = new DirectoryFixture();
-      fixture.register({ startedAtMs: SECOND });
+      fixture.register({ startedAtMs: SECOND_START_MS });
       fixture.register({ startedAtMs: undefined, heartbeat: 501, slots: 1 });
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
       assert.is(fixture.active.get("r1")?.slots, 1);
       fixture.register({ heartbeat: 900 });
-      assert.is(fixture.startOf(), SECOND);
+      assert.is(fixture.startOf(), SECOND_START_MS);
     });
 
     it("accepts a leaving id again once its record was removed", () => {
--- a/tests/membership/runner-groups.test.ts
+++ b/tests/membership/runner-groups.test.ts
@@ -13,25 +13,29 @@
 import { RecordFindings } from "../../src/platform/record-findings.js";
 import { describe, it } from "../support/describe.js";
 
-const FIRST = {
+const FIRST_GROUP = {
   name: "model.one",
   service: "model",
   epoch: 1,
   addresses: ["10.0.0.1:80"],
 };
-const OTHER = { ...FIRST, name: "model.other", addresses: ["10.0.0.9:80"] };
+const OTHER_GROUP = {
+  ...FIRST_GROUP,
+  name: "model.other",
+  addresses: ["10.0.0.9:80"],
+};
 
 function read(value: Buffer | undefined, emit: Emit = ignoreEvents) {
   const findings = RecordFindings.create({
     emit,
     measurements: ignoreMeasurements,
   });
-  return readGroupNotes([{ key: FIRST.name, value }], findings);
+  return readGroupNotes([{ key: FIRST_GROUP.name, value }], findings);
 }
 
 describe("groups of runners", () => {
   it("are read as their planner wrote them", () => {
-    assert.equal(read(encodeGroupNote(FIRST)), [FIRST]);
+    assert.equal(read(encodeGroupNote(FIRST_GROUP)), [FIRST_GROUP]);
     assert.equal(read(undefined), []);
   });
 
@@ -49,9 +53,9 @@
     // A runner that keeps its old group's name would get requests by the pace
     // of the wrong group.
     const groups = RunnerGroups.create();
-    groups.apply(OTHER);
-    assert.ok(groups.apply(FIRST));
-    const moved = { ...FIRST, name: "model.two" };
+    groups.apply(OTHER_GROUP);
+    assert.ok(groups.apply(FIRST_GROUP));
+    const moved = { ...FIRST_GROUP, name: "model.two" };
     assert.ok(groups.apply(moved));
     assert.is(groups.groupOf("10.0.0.1:80"), "model.two");
     groups.apply({ ...moved, epoch: 2, addresses: [] });
@@ -63,18 +67,18 @@
     // group until its planner names it, and callers wouldn't wait for the group
     // to be available.
     const groups = RunnerGroups.create();
-    groups.apply(FIRST);
+    groups.apply(FIRST_GROUP);
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
-    groups.apply(OTHER);
-    assert.is(groups.groupOf("10.0.0.1:80"), FIRST.name);
-    groups.apply({ ...OTHER, addresses: [] });
+    groups.apply(OTHER_GROUP);
+    assert.is(groups.groupOf("10.0.0.1:80"), FIRST_GROUP.name);
+    groups.apply({ ...OTHER_GROUP, addresses: [] });
     assert.is(groups.groupOf("10.0.0.1:80"), NO_GROUP);
   });
 
   it("have been formed again only if the epoch differs", () => {
     const groups = RunnerGroups.create();
-    groups.apply(FIRST);
-    assert.not.ok(groups.apply(FIRST));
-    assert.ok(groups.apply({ ...FIRST, epoch: 2 }));
+    groups.apply(FIRST_GROUP);
+    assert.not.ok(groups.apply(FIRST_GROUP));
+    assert.ok(groups.apply({ ...FIRST_GROUP, epoch: 2 }));
   });
 });
--- a/tests/membership/slow-runners.test.ts
+++ b/tests/membership/slow-runners.test.ts
@@ -13,15 +13,15 @@
 
 function createRunners(slowness: number): {
   runners: SlowRunners;
-  at: (ms: number) => void;
+  setNowMs: (ms: number) => void;
 } {
   let nowMs = 0;
   const runners = SlowRunners.create(() => nowMs, ignoreEvents);
   runners.apply({ address: ADDRESS, slowness, startedAtMs: undefined });
-  const at = (ms: number): void => {
+  const setNowMs = (ms: number): void => {
     nowMs = ms;
   };
-  return { runners, at };
+  return { runners, setNowMs };
 }
 
 describe("slow runners", () => {
@@ -36,10 +36,10 @@
   it("count as recovered when nobody renews the note", () => {
     // The planner that wrote the note is gone, so nobody reports that the rank
     // has recovered. Excluded forever, its capacity would be lost to the group.
-    const { runners, at } = createRunners(5);
-    at(PACE_NOTE_TTL_MS - 1);
+    const { runners, setNowMs } = createRunners(5);
+    setNowMs(PACE_NOTE_TTL_MS - 1);
     assert.ok(runners.isSlow(ADDRESS, undefined));
-    at(PACE_NOTE_TTL_MS);
+    setNowMs(PACE_NOTE_TTL_MS);
     assert.not.ok(runners.isSlow(ADDRESS, undefined));
   });
 
@@ -51,10 +51,10 @@
   });
 
   describe("that have restarted", () => {
-    const FIRST = 1_790_000_000_000;
-    const SECOND = FIRST + 5000;
+    const FIRST_START_MS = 1_790_000_000_000;
+    const SECOND_START_MS = FIRST_START_MS + 5000;
 
-    function take(
+    function applyNote(
       runners: SlowRunners,
       slowness: number,
       startedAtMs: IncarnationStart,
@@ -67,34 +67,34 @@
       // The note still applies for seconds, in which the rank would get no
       // requests.
       const { runners } = createRunners(1);
-      take(runners, 5, FIRST);
-      assert.ok(runners.isSlow(ADDRESS, FIRST));
-      assert.not.ok(runners.isSlow(ADDRESS, SECOND));
+      applyNote(runners, 5, FIRST_START_MS);
+      assert.ok(runners.isSlow(ADDRESS, FIRST_START_MS));
+      assert.not.ok(runners.isSlow(ADDRESS, SECOND_START_MS));
     });
 
     it("aren't changed by a late note of the earlier incarnation", () => {
       const { runners } = createRunners(1);
-      take(runners, 5, SECOND);
-      take(runners, 1, FIRST);
-      assert.ok(runners.isSlow(ADDRESS, SECOND));
-      take(runners, 1, SECOND);
-      take(runners, 5, FIRST);
-      assert.not.ok(runners.isSlow(ADDRESS, SECOND));
+      applyNote(runners, 5, SECOND_START_MS);
+      applyNote(runners, 1, FIRST_START_MS);
+      assert.ok(runners.isSlow(ADDRESS, SECOND_START_MS));
+      applyNote(runners, 1, SECOND_START_MS);
+      applyNote(runners, 5, FIRST_START_MS);
+      assert.not.ok(runners.isSlow(ADDRESS, SECOND_START_MS));
     });
 
     it("lose a note without a start time when the earlier incarnation ends", () => {
       const { runners } = createRunners(5);
-      const server = { address: ADDRESS, startedAtMs: FIRST };
-      assert.ok(runners.isSlow(ADDRESS, FIRST));
+      const server = { address: ADDRESS, startedAtMs: FIRST_START_MS };
+      assert.ok(runners.isSlow(ADDRESS, FIRST_START_MS));
       runners.forget(server);
-      assert.not.ok(runners.isSlow(ADDRESS, SECOND));
+      assert.not.ok(runners.isSlow(ADDRESS, SECOND_START_MS));
     });
 
     it("keep a note of the later incarnation that was read before its registration", () => {
       const { runners } = createRunners(1);
-      take(runners, 5, SECOND);
-      runners.forget({ address: ADDRESS, startedAtMs: FIRST });
-      assert.ok(runners.isSlow(ADDRESS, SECOND));
+      applyNote(runners, 5, SECOND_START_MS);
+      runners.forget({ address: ADDRESS, startedAtMs: FIRST_START_MS });
+      assert.ok(runners.isSlow(ADDRESS, SECOND_START_MS));
     });
 
     it("are encoded so that older writers and readers stay compatible", () => {
@@ -102,7 +102,7 @@
       const old = { address: ADDRESS, slowness: 2, startedAtMs: undefined };
       assert.equal(decodePaceNote({ key: ADDRESS, value }), old);
       assert.is(encodePaceNote(old).toString(), value.toString());
-      const note = { ...old, startedAtMs: FIRST };
+      const note = { ...old, startedAtMs: FIRST_START_MS };
       const record = { key: ADDRESS, value: encodePaceNote(note) };
       assert.equal(decodePaceNote(record), note);
     });
--- a/tests/orders/order-executor.test.ts
+++ b/tests/orders/order-executor.test.ts
@@ -94,14 +94,14 @@
       executor.onCallFailed(EFFECT_MS + 100);
       const soon = executor.submit(order(10, "new"), EFFECT_MS + 101);
       assert.equal(errors(soon), [1702]);
-      const waited = 2 * EFFECT_MS + 100;
-      const [call] = executor.tick(waited);
+      const afterWaitMs = 2 * EFFECT_MS + 100;
+      const [call] = executor.tick(afterWaitMs);
       assert.equal(call, { kind: "engine", call: { kind: "read" } });
       assert.equal(
-        errors(executor.onAnswer(answerWith("before"), waited)),
+        errors(executor.onAnswer(answerWith("before"), afterWaitMs)),
         [1703],
       );
-      const next = executor.submit(order(10, "new"), waited);
+      const next = executor.submit(order(10, "new"), afterWaitMs);
       assert.is(next.at(0)?.kind, "engine");
     });
   });
--- a/tests/orders/order-task-sockets.test.ts
+++ b/tests/orders/order-task-sockets.test.ts
@@ -30,7 +30,7 @@
 
 async function withEngine(
   checksFencing: boolean,
-  body: (site: EngineFixture) => Promise<void>,
+  body: (fixture: EngineFixture) => Promise<void>,
 ): Promise<void> {
   await using log = await startLog();
   const client = LogClient.create(log.address);
@@ -132,8 +132,8 @@
         await waitFor(
           () => engine.appliedOrders.at(-1)?.order.value === "other",
         );
-        const why = checksFencing ? [] : ["start", "lost answer"];
-        assert.equal(waits(), why);
+        const expectedReasons = checksFencing ? [] : ["start", "lost answer"];
+        assert.equal(waits(), expectedReasons);
       });
     });
   });
--- a/tests/session/leaving.test.ts
+++ b/tests/session/leaving.test.ts
@@ -26,7 +26,7 @@
     assert.is(connection?.agent.engine.starts.length, 0);
   });
 
-  it("exits once its answers are read and its entries know", () => {
+  it("exits once its answers are read and its entries know that it leaves", () => {
     const simulation = Simulation.create();
     for (let count = 0; count < 4; count += 1) {
       simulation.accept(simulation.entries[0], false, true);
--- a/tests/session/loss.test.ts
+++ b/tests/session/loss.test.ts
@@ -194,7 +194,7 @@
 
 describe("steady load", () => {
   // Guards against heartbeats being held up by constant dispatches. The agent
-  // would then keep every answer for the whole hold time.
+  // would then keep every answer for the whole retention time.
   it("lets the agent free the attempts that its entry has settled", () => {
     const simulation = Simulation.create();
     for (let step = 0; step < 120; step += 1) {
@@ -210,7 +210,7 @@
 
 describe("an answer that nobody reads", () => {
   // The entry crashes, and its callers' connections with it. Repeatable work is
-  // cancelled after the hold time; other work runs to its end.
+  // cancelled after the retention time; other work runs to its end.
   it("is cancelled if it is repeatable, and completed if not", () => {
     const simulation = Simulation.create();
     const [entry] = simulation.entries;
--- a/tests/suspects/crash-detector.test.ts
+++ b/tests/suspects/crash-detector.test.ts
@@ -65,7 +65,7 @@
     assert.ok(fixture.suspects.isSuspect("one"));
   });
 
-  it("makes none for what happens to the server much later", async () => {
+  it("makes none if the server crashes much later", async () => {
     const fixture = new DetectorFixture();
     fixture.port = "silent";
     await fixture.loseRun("one");
--- a/tests/suspects/crash-load.test.ts
+++ b/tests/suspects/crash-load.test.ts
@@ -10,8 +10,8 @@
 const MORE_SEEDS = 50;
 /** Intended number of servers that a crashing request takes down. */
 const TARGET_CRASHES = 2;
-/** The platform's limit on runs after entries have received the third crash. */
-const MAX_LATE_RUNS = 3;
+/** The platform's limit on runs after entries have learned of three crashes. */
+const MAXIMUM_LATE_RUNS = 3;
 const ENTRIES = 6;
 
 const DEFAULT_OPTIONS: Omit<CrashSimulationOptions, "seed"> = {
@@ -72,11 +72,11 @@
     assertHarmlessServed(outcomes);
   });
 
-  it("reaches hardly a rank past the third crash when two come at once", async () => {
+  it("reaches hardly any rank after the third crash when sent twice at once", async () => {
     // Both are sent before either has crashed a server.
     const outcomes = await runAll({ copies: 2 });
     assert.ok(maximumOf(outcomes, "crashes") <= 2 * TARGET_CRASHES);
-    assert.ok(maximumOf(outcomes, "lateRuns") <= MAX_LATE_RUNS);
+    assert.ok(maximumOf(outcomes, "lateRuns") <= MAXIMUM_LATE_RUNS);
     assertHarmlessServed(outcomes);
   });
 
--- a/tests/suspects/crash-simulation.ts
+++ b/tests/suspects/crash-simulation.ts
@@ -24,9 +24,9 @@
    * Number of copies of the crashing request that are sent at the same moment.
    */
   readonly copies: number;
-  /** The store can't be written until then, ms. */
+  /** Until when the store can't be written, ms since the start. */
   readonly storeDownUntilMs: number;
-  /** When all entries restart, ms. */
+  /** When all entries restart, ms since the start. */
   readonly entriesRestartAtMs: number | undefined;
 }
 
@@ -34,7 +34,10 @@
 export interface CrashOutcome {
   /** Number of ranks that the request crashed. */
   readonly crashes: number;
-  /** Runs of it that started later than `SETTLING_MS` after the third crash. */
+  /**
+   * Runs of the crashing request that started later than `SETTLING_MS` after
+   * the third crash.
+   */
   readonly lateRuns: number;
   readonly harmlessRequests: number;
   /** Harmless requests that were refused as suspects. */
@@ -55,7 +58,7 @@
 const HARMLESS_PER_STEP = 10;
 /** Number of different harmless requests; the popular ones are sent often. */
 const HARMLESS_KINDS = 200;
-const MAX_RUN_MS = 2000;
+const MAXIMUM_RUN_MS = 2000;
 /** Probability per step that a rank crashes for another reason. */
 const OTHER_CRASH_PROBABILITY = 0.01;
 
@@ -160,7 +163,7 @@
     if (open.length === 0) return undefined;
     const rank = open[randomBelow(this.random, open.length)];
     const sentAtMs = this.time.nowMs;
-    const endsAtMs = sentAtMs + this.random() * MAX_RUN_MS;
+    const endsAtMs = sentAtMs + this.random() * MAXIMUM_RUN_MS;
     const run = { entry, digest, rank, sentAtMs, endsAtMs };
     this.runs.push(run);
     return run;
@@ -208,7 +211,7 @@
   private startEntry(name: string): Entry {
     const now = (): number => this.time.nowMs;
     const suspects = SuspectRequests.create(now);
-    const notes = SuspectSync.create({
+    const sync = SuspectSync.create({
       name,
       suspects,
       notes: { put: (key, value) => this.put({ key, value }) },
@@ -223,7 +226,7 @@
       },
       emit: ignoreEvents,
     });
-    const watch = CrashDetector.create({
+    const detector = CrashDetector.create({
       now,
       emit: ignoreEvents,
       suspects,
@@ -233,16 +236,16 @@
         return Promise.resolve(isDown ? "closed" : "open");
       },
       onEvidence: () => {
-        notes.schedulePublish();
+        sync.schedulePublish();
       },
     });
     const entry: Entry = {
       suspects,
-      detector: watch,
-      sync: notes,
+      detector,
+      sync,
       isStopped: false,
     };
-    notes.apply([...this.records.values()]);
+    sync.apply([...this.records.values()]);
     return entry;
   }
 
@@ -259,7 +262,7 @@
     }
     this.records.set(record.key, record);
     this.time.schedule(STORE_DELAY_MS, () => {
-      for (const { sync: notes } of this.entries) notes.apply([record]);
+      for (const { sync } of this.entries) sync.apply([record]);
     });
     return Promise.resolve();
   }
--- a/tests/suspects/suspect-requests.test.ts
+++ b/tests/suspects/suspect-requests.test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { digestOf } from "../../src/suspects/request-digest.js";
 import {
-  MAX_SUSPECTS,
+  MAXIMUM_SUSPECTS,
   SUSPECT_RETENTION_MS,
   SuspectRequests,
   WITHHOLD_DURATION_MS,
@@ -91,7 +91,7 @@
     assert.ok(fixture.entries[0].isWithheld(CRASHING));
   });
 
-  it("are run again everywhere once one has completed", () => {
+  it("are run again everywhere once a run has completed", () => {
     // A harmless request ran on two servers that crashed one after the other.
     const fixture = new EntriesFixture();
     fixture.crash(0, CRASHING, "r1");
@@ -225,10 +225,10 @@
     fixture.crash(0, CRASHING, "r1");
     fixture.advance();
     fixture.crash(0, CRASHING, "r2");
-    for (let count = 0; count < 2 * MAX_SUSPECTS; count += 1) {
+    for (let count = 0; count < 2 * MAXIMUM_SUSPECTS; count += 1) {
       fixture.crash(0, `other-${count}`, "r3");
     }
-    assert.is(entry.size, MAX_SUSPECTS);
+    assert.is(entry.size, MAXIMUM_SUSPECTS);
     assert.ok(entry.isWithheld(CRASHING));
   });
 
@@ -258,7 +258,7 @@
     body: Buffer.from("body"),
   };
 
-  it("is the same for the same path, account and body alone", () => {
+  it("is the same only for the same method, path, account and body", () => {
     const same = digestOf({ ...content, body: Buffer.from("body") });
     assert.is(digestOf(content), same);
     const others = [
