--- a/tests/session/sockets.test.ts
+++ b/tests/session/sockets.test.ts
@@ -148,13 +148,17 @@
   // Callers notice nothing.
   it("aborts no request when an agent and then the entry exit", async () => {
     await using site = await startServingSite(2);
-    const [leaving] = site.runners;
     const tokens = 300;
     const first = indexRange(20).map((index) =>
       startStream(site, `first ${index}`, tokens),
     );
     await waitUntil(() => first.every(({ texts }) => texts.length > 0));
-    assert.ok(leaving.engine.runs.started.length > 0);
+    // Placement learns of a session some time after it opened, so all streams
+    // may run on the same agent.
+    const leaving = site.runners.find(
+      ({ engine }) => engine.runs.started.length > 0,
+    );
+    assert.ok(leaving !== undefined);
 
     leaving.daemon.process.kill("SIGTERM");
     await waitUntil(async () => {
