--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -63,7 +63,7 @@
 export async function makeCall(caller: Caller): Promise<CallResult> {
   const plan = planCall(caller.random);
   const startedAtMs = Date.now();
-  const startedAt = performance.now();
+  const monotonicStartMs = performance.now();
   const addresses = caller.addresses();
   const address = addresses[randomBelow(caller.random, addresses.length)];
   const received = await send(caller, address, plan);
@@ -75,7 +75,7 @@
     detail,
     startedAtMs,
     firstByteMs: received?.firstByteMs ?? 0,
-    durationMs: performance.now() - startedAt,
+    durationMs: performance.now() - monotonicStartMs,
   };
 }
 
@@ -105,7 +105,7 @@
   plan: CallPlan,
 ): Promise<ReceivedResponse | undefined> {
   const { path, profile, body } = requestOf(plan);
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   try {
     const response = await fetch(`http://${address}${path}`, {
       method: "POST",
@@ -117,7 +117,7 @@
       body,
       signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
-    const { text, isCut, firstByteMs } = await readText(response, startedAt);
+    const { text, isCut, firstByteMs } = await readText(response, startedAtMs);
     const outcome = response.headers.get("apricotdeck-outcome") ?? "";
     const { status } = response;
     return { status, outcome, text, firstByteMs, isCut };
@@ -147,14 +147,14 @@
 
 async function readText(
   response: Response,
-  startedAt: number,
+  startedAtMs: number,
 ): Promise<{ text: string; isCut: boolean; firstByteMs: number }> {
   let text = "";
   let firstByteMs = 0;
   const decoder = new TextDecoder();
   try {
     for await (const part of response.body ?? []) {
-      if (firstByteMs === 0) firstByteMs = performance.now() - startedAt;
+      if (firstByteMs === 0) firstByteMs = performance.now() - startedAtMs;
       text += decoder.decode(part as Uint8Array, { stream: true });
     }
   } catch {
--- a/demo/faults.ts
+++ b/demo/faults.ts
@@ -1,10 +1,14 @@
-/** Faults that the demo injects, each with a check made at the end of the run. */
+/**
+ * Faults that the demo injects, each with a check made at the end of the run.
+ */
 import type { CheckResult } from "./run-checks.js";
 import type { Site } from "./site.js";
 
 export interface Fault {
   readonly name: string;
-  /** Delay before the injection, so that the previous fault has played out. */
+  /**
+   * Delay before the injection, in which the previous fault takes full effect.
+   */
   readonly delayMs: number;
   /** Injects the fault; resolves with the check for the end of the run. */
   readonly inject: (site: Site) => Promise<() => Promise<CheckResult>>;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run demo [-- --site dyfrwr|ben-ammar] [--seed N]`: runs a complete site
- * on loopback under a mixed load and injects a few faults. Exits by itself, with
- * code 0 only if every check passed.
+ * on loopback under a mixed load and injects a few faults. Exits by itself,
+ * with code 0 only if every check passed.
  */
 import { mkdtemp, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
--- a/demo/site-group.ts
+++ b/demo/site-group.ts
@@ -36,14 +36,17 @@
 }
 
 const STEP_MS = 4;
-/** With an even map, tokens cost about as much as the fixed step time. */
+/**
+ * With an even map, the tokens of a rank take about as long as the fixed part
+ * of a step.
+ */
 const TOKEN_MS = 0.01;
 const TOKENS_PER_LAYER = 1200;
 const WEIGHT_STORE_BYTES_PER_SECOND = 4_000_000;
-const MAX_REPORT_DELAY_MS = 60;
+const MAXIMUM_REPORT_DELAY_MS = 60;
 const LOST_REPORT_SHARE = 0.05;
 const SKEW_SAMPLE_STEPS = 200;
-const MIN_SAMPLE_STEPS = 50;
+const MINIMUM_SAMPLE_STEPS = 50;
 const POLL_MS = 100;
 
 export class SiteGroup implements AsyncDisposable {
@@ -68,7 +71,7 @@
       reportDelayMs: () =>
         random() < LOST_REPORT_SHARE
           ? undefined
-          : random() * MAX_REPORT_DELAY_MS,
+          : random() * MAXIMUM_REPORT_DELAY_MS,
       onStep: (record) => {
         this.steps.push(record);
         this.engines.get(record.member)?.step();
@@ -145,7 +148,7 @@
   async waitForSkew(): Promise<SkewSample> {
     for (;;) {
       const sample = this.skew();
-      if (sample.steps >= MIN_SAMPLE_STEPS) return sample;
+      if (sample.steps >= MINIMUM_SAMPLE_STEPS) return sample;
       await sleep(POLL_MS);
     }
   }
--- a/demo/site-members.ts
+++ b/demo/site-members.ts
@@ -59,7 +59,7 @@
 
 export interface SiteMember extends AsyncDisposable {
   readonly daemon: SiteDaemon;
-  /** The daemon's entry in the VM list. */
+  /** The daemon's record in the VM list. */
   readonly vm: () => Vm;
 }
 
--- a/demo/site.ts
+++ b/demo/site.ts
@@ -43,11 +43,13 @@
   readonly entries: readonly SiteMember[];
   readonly runners: readonly SiteRunner[];
   readonly services: readonly SiteService[];
-  /** Updates the VM list from the daemons; `change` can alter each entry. */
+  /** Updates the VM list from the daemons; `change` can alter each record. */
   readonly showVms: (change?: (vm: Vm) => Vm) => void;
   /** Appends a publication as the command-line tool does. */
   readonly publish: (configuration: unknown) => Promise<void>;
-  /** Resolves once every entry has a configuration and sees all backends. */
+  /**
+   * Resolves once every entry has a configuration and sees all backend servers.
+   */
   readonly waitUntilReady: () => Promise<void>;
 }
 
@@ -102,8 +104,9 @@
     showVms,
     publish: (configuration) => publish(log.address, configuration),
     waitUntilReady: async () => {
-      const backends = runners.length + services.length;
-      for (const entry of entries) await waitForEntry(entry, backends);
+      const backendServerCount = runners.length + services.length;
+      for (const entry of entries)
+        await waitForEntry(entry, backendServerCount);
     },
     async [Symbol.asyncDispose]() {
       const owned = [...members, vmList, log];
@@ -167,13 +170,13 @@
 
 async function waitForEntry(
   { daemon }: SiteMember,
-  backends: number,
+  backendServerCount: number,
 ): Promise<void> {
   for (;;) {
     const { operators } = daemon.process;
     const status = (await readStatus(operators)) as EntryStatus;
     const live = status.backends.filter((item) => item.live).length;
-    if (status.version !== null && live === backends) return;
+    if (status.version !== null && live === backendServerCount) return;
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
--- a/demo/soak.ts
+++ b/demo/soak.ts
@@ -1,8 +1,8 @@
 /**
  * `npm run soak -- --seconds N --seed N`: runs a site of separate processes
  * under a mixed load and injects random faults, one or two at a time. The
- * daemons assert their invariants. Prints the request conservation counts at the
- * end and exits with code 0 only if every check passed.
+ * daemons assert their invariants. Prints the request conservation counts at
+ * the end and exits with code 0 only if every check passed.
  */
 import { readFile } from "node:fs/promises";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -29,7 +29,7 @@
 const EXIT_FAILED = 1;
 const CALLS_PER_SECOND = 40;
 const SETTLE_MS = 8000;
-const MAX_FAULT_GAP_MS = 4000;
+const MAXIMUM_FAULT_GAP_MS = 4000;
 const OUTAGE_MS = 2500;
 const PAUSE_MS = 3000;
 
@@ -129,7 +129,7 @@
   const counts = new Map<string, number>();
   const pending: Promise<void>[] = [];
   while (Date.now() < untilMs) {
-    await sleep(random() * MAX_FAULT_GAP_MS);
+    await sleep(random() * MAXIMUM_FAULT_GAP_MS);
     const faultCount = random() < 0.3 ? 2 : 1;
     for (let index = 0; index < faultCount; index += 1) {
       const fault = pick(random, faults);
--- a/measure/claims.ts
+++ b/measure/claims.ts
@@ -64,10 +64,10 @@
   const histogram = buildHistogram();
   const counts = { claimed: 0, refused: 0 };
   const before = { appends: log.appends(), reads: log.reads() };
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   const total = callsPerSecond * seconds;
   for (let sentCalls = 0; sentCalls < total;) {
-    const elapsedMs = performance.now() - startedAt;
+    const elapsedMs = performance.now() - startedAtMs;
     const dueCalls = Math.min(
       total,
       Math.floor((elapsedMs / 1000) * callsPerSecond),
@@ -77,7 +77,7 @@
     }
     await sleep(SEND_INTERVAL_MS);
   }
-  const elapsedSeconds = (performance.now() - startedAt) / 1000;
+  const elapsedSeconds = (performance.now() - startedAtMs) / 1000;
   const appends = log.appends() - before.appends;
   const reads = log.reads() - before.reads;
   await sleep(CLAIM_TIMEOUT_MS + 200);
@@ -122,7 +122,7 @@
   counts: { claimed: number; refused: number },
 ): void {
   const call = uuidV7();
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   const giveUpAtMs = Date.now() + CLAIM_TIMEOUT_MS;
   const identity = { account: "crews", key: uuidV7(), isOwnKey: false };
   const choice = { agent: "runner-1", agentIncarnation: "i1" };
@@ -131,7 +131,7 @@
     () => choice,
     (step) => {
       if (step.kind === "dispatch") {
-        const elapsedMs = performance.now() - startedAt;
+        const elapsedMs = performance.now() - startedAtMs;
         histogram.recordValue(Math.round(elapsedMs * MICROSECONDS_PER_MS));
         counts.claimed += 1;
       } else counts.refused += 1;
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -88,7 +88,7 @@
   followers: readonly RunningFollower[],
   version: number,
 ): Promise<number> {
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   await site.append(
     publication({
       basedOn: version - 1,
@@ -97,7 +97,7 @@
     }),
   );
   await awaitVersion(followers, version);
-  return performance.now() - startedAt;
+  return performance.now() - startedAtMs;
 }
 
 function awaitVersion(
--- a/measure/decisions.ts
+++ b/measure/decisions.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure -- decisions [--seed N]`: time of one admission and placement
- * decision, and memory of an entry's decision state, at 820 runners, 40 models
- * and 1,100 client accounts. The baseline scans the whole pool.
+ * `npm run measure -- decisions [--seed N]`: time of one admission and
+ * placement decision, and memory of an entry's decision state, at 820 runners,
+ * 40 models and 1,100 client accounts. The baseline scans the whole pool.
  */
 import { parseArgs } from "node:util";
 import {
@@ -28,7 +28,7 @@
 const DECISIONS = 100_000;
 /** Part of the runners that serve the largest model. */
 const LARGEST_MODEL_SHARE = 0.5;
-const NS_PER_US = 1000;
+const NANOSECONDS_PER_MICROSECOND = 1000;
 
 interface Timing {
   readonly p50Us: number;
@@ -152,8 +152,8 @@
 }
 
 /**
- * Simulates what happens between two decisions: time passes, the oldest requests
- * beyond the limit end, and a runner reports its load.
+ * Simulates what happens between two decisions: time passes, the oldest
+ * requests beyond the limit end, and a runner reports its load.
  */
 function advance(
   state: DecisionState,
@@ -193,7 +193,8 @@
     const before = process.hrtime.bigint();
     state.admission.offer(request);
     const elapsedNs = Number(process.hrtime.bigint() - before);
-    if (index >= WARM_UP_DECISIONS) timesUs.push(elapsedNs / NS_PER_US);
+    if (index >= WARM_UP_DECISIONS)
+      timesUs.push(elapsedNs / NANOSECONDS_PER_MICROSECOND);
   }
   const totalUs = timesUs.reduce((sum, value) => sum + value, 0);
   return {
--- a/measure/path-load.ts
+++ b/measure/path-load.ts
@@ -1,4 +1,6 @@
-/** Load generator of the path measurement: open-loop calls and token streams. */
+/**
+ * Load generator of the path measurement: open-loop calls and token streams.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import { build, type Histogram } from "hdr-histogram-js";
 import { Pool } from "undici";
@@ -28,15 +30,17 @@
   });
 }
 
-/** Microseconds until the answer is complete; throws unless its status is 200. */
+/**
+ * Microseconds until the answer is complete; throws unless its status is 200.
+ */
 export async function timeCall(target: Target, body: string): Promise<number> {
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   const { pool, path, headers } = target;
   const response = await pool.request({ method: "POST", path, headers, body });
   await response.body.text();
   if (response.statusCode !== 200)
     throw new RangeError("answer without status 200");
-  return (performance.now() - startedAt) * MICROSECONDS_PER_MS;
+  return (performance.now() - startedAtMs) * MICROSECONDS_PER_MS;
 }
 
 /**
@@ -50,14 +54,14 @@
   readonly call: () => Promise<void>;
 }): Promise<void> {
   const { perSecond, seconds, random, call } = options;
-  const endAt = performance.now() + seconds * 1000;
+  const endAtMs = performance.now() + seconds * 1000;
   const pending: Promise<void>[] = [];
-  let nextCallAt = performance.now();
-  while (nextCallAt < endAt) {
-    const waitMs = nextCallAt - performance.now();
+  let nextCallAtMs = performance.now();
+  while (nextCallAtMs < endAtMs) {
+    const waitMs = nextCallAtMs - performance.now();
     if (waitMs > 0.5) await sleep(waitMs);
     pending.push(call());
-    nextCallAt += (-Math.log(1 - random()) / perSecond) * 1000;
+    nextCallAtMs += (-Math.log(1 - random()) / perSecond) * 1000;
   }
   await Promise.all(pending);
 }
@@ -80,7 +84,10 @@
   return events - 1;
 }
 
-/** Counts the `data: ` prefixes in a chunk; one that is split between two is missed. */
+/**
+ * Counts the `data: ` prefixes in a chunk; a prefix that is split between two
+ * chunks is missed.
+ */
 function countEvents(text: string): number {
   let count = 0;
   for (
--- a/measure/path.ts
+++ b/measure/path.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run measure -- path`: overhead of entry and agent over direct calls to
- * the stand-in engine. Direct calls and calls through the entry alternate within
- * one run, so that other load on the machine affects both equally.
+ * the stand-in engine. Direct calls and calls through the entry alternate
+ * within one run, so that other load on the machine affects both equally.
  */
 import { fork, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
@@ -197,9 +197,9 @@
       return (await Promise.all(calls)).reduce((sum, part) => sum + part, 0);
     };
     await runStreams(200);
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     const total = await runStreams(tokens);
-    tokensPerSecond = total / ((performance.now() - startedAt) / 1000);
+    tokensPerSecond = total / ((performance.now() - startedAtMs) / 1000);
   });
   return { tokensPerSecond, streams };
 }
--- a/measure/placement.ts
+++ b/measure/placement.ts
@@ -1,6 +1,7 @@
 /**
  * `npm run measure -- placement [--seed N] [--seconds N] [--only SCENARIO]
- * [--sweep]`: compares runner selection policies on the same scenarios and calls.
+ * [--sweep]`: compares runner selection policies on the same scenarios and
+ * calls.
  */
 import { parseArgs } from "node:util";
 import { createRandom } from "../src/internal.js";
@@ -39,6 +40,7 @@
 export interface PlacementResult {
   readonly answered: number;
   readonly failed: number;
+  /** Percentiles of the time to the first token, in ms. */
   readonly firstTokenP50: number;
   readonly firstTokenP95: number;
   readonly firstTokenP99: number;
--- a/measure/skew-policies.ts
+++ b/measure/skew-policies.ts
@@ -28,7 +28,9 @@
     map: ExpertMap,
     switchPending: boolean,
   ) => ExpertMap | undefined;
-  /** Divides the request work among the ranks; the trace's division if absent. */
+  /**
+   * Divides the request work among the ranks; the trace's division if absent.
+   */
   readonly placeRequests?: (map: ExpertMap, total: number) => Float64Array;
 }
 
@@ -102,7 +104,9 @@
   };
 }
 
-/** Policies that also place requests; skipped on traces without request work. */
+/**
+ * Policies that also place requests; skipped on traces without request work.
+ */
 export const requestPolicies: ReadonlySet<string> = new Set([
   "placement-only",
   "joint",
--- a/measure/skew-run.ts
+++ b/measure/skew-run.ts
@@ -1,7 +1,8 @@
 /**
- * Simulates one policy on one trace, window by window. Reports arrive one window
- * late. A new map takes effect at the start of a window, once its weights were
- * fetched at the weight store's rate and the ranks agreed on the switch.
+ * Simulates one policy on one trace, window by window. Reports arrive one
+ * window late. A new map takes effect at the start of a window, once its
+ * weights were fetched at the weight store's rate and the ranks agreed on the
+ * switch.
  */
 import {
   createEvenMap,
@@ -84,10 +85,10 @@
     const time = stepTime(shape, times, window.speeds);
     skews.push(skewOf(time));
     wholeSteps.push(time.slowestWholeStep / time.mean);
-    const started = performance.now();
+    const startedAtMs = performance.now();
     if (previous !== undefined) policy.observe(previous.map, previous.reports);
     const next = policy.decide(map, pending !== undefined);
-    plannerMs.push(performance.now() - started);
+    plannerMs.push(performance.now() - startedAtMs);
     previous = { map, reports: reportsOf(map, window, index) };
     if (next !== undefined) pending = scheduleSwitch(map, next, index, costs);
   });
--- a/measure/slopes-fit.ts
+++ b/measure/slopes-fit.ts
@@ -60,14 +60,14 @@
 }
 
 function measureRound(operation: () => void): number {
-  const started = process.cpuUsage();
-  const endAt = performance.now() + ROUND_MS;
+  const usageBefore = process.cpuUsage();
+  const endAtMs = performance.now() + ROUND_MS;
   let calls = 0;
   do {
     operation();
     calls++;
-  } while (performance.now() < endAt);
-  const { user, system } = process.cpuUsage(started);
+  } while (performance.now() < endAtMs);
+  const { user, system } = process.cpuUsage(usageBefore);
   return (user + system) / calls;
 }
 
--- a/measure/slopes-measurements.ts
+++ b/measure/slopes-measurements.ts
@@ -30,17 +30,17 @@
   readonly measure: (size: number) => number;
 }
 
-const PEERS = [100, 200, 400, 820];
-const ACCOUNTS = [140, 280, 550, 1100];
-const CLAIMS = [2000, 4000, 8000, 16_000];
-const EXPERTS = [16, 32, 64, 128];
+const PEER_COUNTS = [100, 200, 400, 820];
+const ACCOUNT_COUNTS = [140, 280, 550, 1100];
+const CLAIM_COUNTS = [2000, 4000, 8000, 16_000];
+const EXPERT_COUNTS = [16, 32, 64, 128];
 
 export const slopeMeasurements: readonly SlopeMeasurement[] = [
   {
     name: "heartbeat-processor",
     sizeUnit: "peers",
     costUnit: "µs a round",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (peers) => processorMicroseconds(heartbeatRound(peers)),
   },
@@ -48,7 +48,7 @@
     name: "heartbeat-payload",
     sizeUnit: "peers",
     costUnit: "bytes a round",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (peers) =>
       peers * (heartbeatBytes(1000).length + reportBytes(1000).length),
@@ -57,7 +57,7 @@
     name: "machine-processor",
     sizeUnit: "peers",
     costUnit: "µs a round",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (peers) => processorMicroseconds(sessionRound(peers)),
   },
@@ -65,7 +65,7 @@
     name: "load-report-processor",
     sizeUnit: "runners",
     costUnit: "µs a round",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (runners) => processorMicroseconds(reportRound(runners)),
   },
@@ -73,7 +73,7 @@
     name: "placement-memory",
     sizeUnit: "runners",
     costUnit: "bytes",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (runners) => retainedBytes(() => createPlacement(runners)),
   },
@@ -81,7 +81,7 @@
     name: "placement-decision",
     sizeUnit: "runners",
     costUnit: "µs a choice",
-    sizes: PEERS,
+    sizes: PEER_COUNTS,
     targetSize: 820,
     measure: (runners) => {
       const placement = createPlacement(runners);
@@ -94,7 +94,7 @@
     name: "configuration-processor",
     sizeUnit: "accounts",
     costUnit: "µs a change",
-    sizes: ACCOUNTS,
+    sizes: ACCOUNT_COUNTS,
     targetSize: 1100,
     measure: (accounts) => {
       const record = createPublication(accounts);
@@ -107,7 +107,7 @@
     name: "configuration-record",
     sizeUnit: "accounts",
     costUnit: "bytes a change",
-    sizes: ACCOUNTS,
+    sizes: ACCOUNT_COUNTS,
     targetSize: 1100,
     measure: (accounts) => createPublication(accounts).data.length,
   },
@@ -115,7 +115,7 @@
     name: "configuration-memory",
     sizeUnit: "accounts",
     costUnit: "bytes",
-    sizes: ACCOUNTS,
+    sizes: ACCOUNT_COUNTS,
     targetSize: 1100,
     measure: (accounts) => {
       const record = createPublication(accounts);
@@ -126,7 +126,7 @@
     name: "account-limits-memory",
     sizeUnit: "accounts",
     costUnit: "bytes",
-    sizes: ACCOUNTS,
+    sizes: ACCOUNT_COUNTS,
     targetSize: 1100,
     measure: (accounts) => retainedBytes(() => createAccountLimits(accounts)),
   },
@@ -134,7 +134,7 @@
     name: "claims-processor",
     sizeUnit: "claims",
     costUnit: "µs",
-    sizes: CLAIMS,
+    sizes: CLAIM_COUNTS,
     targetSize: 16_000,
     measure: (claims) => {
       const records = createClaimRecords(claims);
@@ -147,7 +147,7 @@
     name: "claims-memory",
     sizeUnit: "claims",
     costUnit: "bytes",
-    sizes: CLAIMS,
+    sizes: CLAIM_COUNTS,
     targetSize: 16_000,
     measure: (claims) => {
       const records = createClaimRecords(claims);
@@ -158,7 +158,7 @@
     name: "claims-log",
     sizeUnit: "claims",
     costUnit: "bytes in the log",
-    sizes: CLAIMS,
+    sizes: CLAIM_COUNTS,
     targetSize: 16_000,
     measure: (claims) =>
       createClaimRecords(claims).reduce(
@@ -178,7 +178,7 @@
     name: "planner-processor",
     sizeUnit: "experts a layer",
     costUnit: "µs a plan",
-    sizes: EXPERTS,
+    sizes: EXPERT_COUNTS,
     targetSize: 128,
     measure: (experts) => processorMicroseconds(planRound(experts)),
   },
@@ -186,7 +186,7 @@
     name: "balancer-memory",
     sizeUnit: "experts a layer",
     costUnit: "bytes",
-    sizes: EXPERTS,
+    sizes: EXPERT_COUNTS,
     targetSize: 128,
     measure: (experts) => retainedBytes(() => createBalancer(experts)),
   },
--- a/measure/slopes-sessions.ts
+++ b/measure/slopes-sessions.ts
@@ -10,8 +10,8 @@
 const START_MS = 1_700_000_000_000;
 
 /**
- * One heartbeat period of the entry's session state machine: a heartbeat arrives
- * from each agent and one is sent to each. Excludes codec and sockets.
+ * One heartbeat period of the entry's session state machine: a heartbeat
+ * arrives from each agent and one is sent to each. Excludes codec and sockets.
  */
 export function sessionRound(agents: number): () => void {
   let now = START_MS;
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -18,7 +18,10 @@
 }
 
 const SESSION_COUNTS = [50, 100, 200, 400];
-/** Sessions of a warm-up run, which isn't counted, so that the code is compiled. */
+/**
+ * Sessions of a warm-up run, whose costs aren't used: it lets V8 compile the
+ * code first.
+ */
 const WARM_UP_SESSIONS = 100;
 
 const sessionCostUnits: Readonly<Record<keyof SessionCost, string>> = {
--- a/measure/support/admission-result.ts
+++ b/measure/support/admission-result.ts
@@ -5,7 +5,9 @@
 import type { Call } from "./workload.js";
 
 export interface AdmissionResult {
-  /** Slot time of answers within their deadline, over the available slot time. */
+  /**
+   * Slot time of answers within their deadline, over the available slot time.
+   */
   readonly goodput: number;
   /** Fraction of the calls of priority 0 that were answered in time. */
   readonly firstPriority: number;
@@ -16,11 +18,13 @@
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
+  /** Percentiles of the time to the first token, in ms. */
   readonly firstTokenP50: number;
   readonly firstTokenP95: number;
   readonly firstTokenP99: number;
   /** Fraction of the refusals that came within 50 ms. */
   readonly refusedAtOnce: number;
+  /** Percentiles of the time to a refusal, in ms. */
   readonly refusalP50: number;
   readonly refusalP99: number;
   /** Attempts that reached an agent, per generated call. */
@@ -80,7 +84,7 @@
   return promptTokens * PREFILL_MS_PER_TOKEN + outputTokens * STEP_MS;
 }
 
-function tokens({ promptTokens, outputTokens }: Call): number {
+function totalTokens({ promptTokens, outputTokens }: Call): number {
   return promptTokens + outputTokens;
 }
 
@@ -104,20 +108,23 @@
   calls: readonly Call[],
 ): number {
   const isFirst = ({ priority }: Call): boolean => priority === 0;
-  const asked = calls.filter(isFirst).length;
-  const served = answered.filter(({ call }) => isFirst(call)).length;
-  return asked === 0 ? 1 : served / asked;
+  const callCount = calls.filter(isFirst).length;
+  const answeredCount = answered.filter(({ call }) => isFirst(call)).length;
+  return callCount === 0 ? 1 : answeredCount / callCount;
 }
 
-/** Ratio of each account's tokens in time to its max-min share of their total. */
+/**
+ * Ratio of each account's tokens in time to its max-min share of their total.
+ */
 function fairShares(
   answered: readonly Outcome[],
   calls: readonly Call[],
 ): readonly number[] {
   const demanded = new Map<string, number>();
-  for (const call of calls) add(demanded, call.account, tokens(call));
+  for (const call of calls) add(demanded, call.account, totalTokens(call));
   const received = new Map<string, number>();
-  for (const { call } of answered) add(received, call.account, tokens(call));
+  for (const { call } of answered)
+    add(received, call.account, totalTokens(call));
   let remaining = [...received.values()].reduce((sum, value) => sum + value, 0);
   const byDemand = [...demanded].sort((a, b) => a[1] - b[1]);
   return byDemand.map(([account, demand], index) => {
--- a/measure/support/choosers.ts
+++ b/measure/support/choosers.ts
@@ -15,7 +15,9 @@
   type RunnerDescription,
 } from "../../src/internal.js";
 
-/** The methods of Placement that an entry uses; baselines implement them, too. */
+/**
+ * The methods of Placement that an entry uses; baselines implement them, too.
+ */
 export type Chooser = Pick<
   Placement,
   | "choose"
@@ -53,7 +55,9 @@
   };
 }
 
-/** Picks a runner's index from this entry's requests in flight at each runner. */
+/**
+ * Picks a runner's index from this entry's requests in flight at each runner.
+ */
 type PickRunner = (inFlight: Int32Array, random: Random) => number;
 
 /** A baseline that knows only its own requests in flight. */
--- a/measure/support/entries.ts
+++ b/measure/support/entries.ts
@@ -1,4 +1,6 @@
-/** Entry models: the product's admission, and a plain FIFO queue as a baseline. */
+/**
+ * Entry models: the product's admission, and a plain FIFO queue as a baseline.
+ */
 import {
   Admission,
   createRandom,
@@ -68,8 +70,8 @@
   retryAfterMs = 0,
 ): void {
   const durationMs = site.clock.nowMs - call.atMs;
-  const inTime = durationMs <= call.deadlineMs;
-  const doneKind = inTime ? "answered" : "late";
+  const isInTime = durationMs <= call.deadlineMs;
+  const doneKind = isInTime ? "answered" : "late";
   const outcomeKind = kind === "done" ? doneKind : kind;
   onOutcome({
     call,
@@ -112,7 +114,9 @@
   });
 }
 
-/** Combines admission, placement and the retry allowance as a real entry does. */
+/**
+ * Combines admission, placement and the retry allowance as a real entry does.
+ */
 export function createAdmissionEntry(
   site: Site,
   entry: number,
--- a/measure/support/runner-model.ts
+++ b/measure/support/runner-model.ts
@@ -10,7 +10,9 @@
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly prefix: readonly number[];
-  /** Time to transfer the prefix's KV cache to this runner; 0 for no transfer. */
+  /**
+   * Time to transfer the prefix's KV cache to this runner; 0 for no transfer.
+   */
   readonly cacheTransferMs: number;
   readonly onStarted: () => void;
   readonly onFirstToken: () => void;
--- a/measure/support/site.ts
+++ b/measure/support/site.ts
@@ -102,7 +102,9 @@
     return new Site(settings);
   }
 
-  /** Sends a placed request to its runner and notifies the chooser of its end. */
+  /**
+   * Sends a placed request to its runner and notifies the chooser of its end.
+   */
   send(entry: number, attempt: Attempt): void {
     const { placed, call } = attempt;
     const chooser = this.choosers[entry];
--- a/measure/support/summary.ts
+++ b/measure/support/summary.ts
@@ -15,7 +15,9 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Jain's fairness index: 1 if all values are equal, 1/n if one has the total. */
+/**
+ * Jain's fairness index: 1 if all values are equal, 1/n if one has the total.
+ */
 export function fairnessIndex(values: readonly number[]): number {
   const total = values.reduce((sum, value) => sum + value, 0);
   const squares = values.reduce((sum, value) => sum + value * value, 0);
--- a/measure/support/virtual-clock.ts
+++ b/measure/support/virtual-clock.ts
@@ -1,6 +1,6 @@
 /**
- * Discrete-event clock for simulations. Runs are reproducible: the same schedule
- * runs its events in the same order.
+ * Discrete-event clock for simulations. Runs are reproducible: the same
+ * schedule runs its events in the same order.
  */
 import { MinHeap } from "../../src/admission/min-heap.js";
 
@@ -9,7 +9,7 @@
   private readonly events = MinHeap.create<() => void>();
 
   private constructor() {
-    // Instances come from create().
+    // Instances are created by `create`.
   }
 
   static create(): VirtualClock {
--- a/measure/traces-file.ts
+++ b/measure/traces-file.ts
@@ -21,7 +21,10 @@
   readonly lines: readonly TraceLine[];
 }
 
-/** Reads a trace file; raises 1802 if it can't be read, 1801 if a line is invalid. */
+/**
+ * Reads a trace file; raises 1802 if it can't be read, 1801 if a line is
+ * invalid.
+ */
 export async function readTrace(file: string): Promise<ParsedTrace> {
   let text: string;
   try {
@@ -32,7 +35,9 @@
   return parseTrace(text);
 }
 
-/** Parses the text of a trace; raises 1801 with the number of an invalid line. */
+/**
+ * Parses the text of a trace; raises 1801 with the number of an invalid line.
+ */
 export function parseTrace(text: string): ParsedTrace {
   const lines: TraceLine[] = [];
   text.split("\n").forEach((content, index) => {
--- a/measure/traces.ts
+++ b/measure/traces.ts
@@ -35,7 +35,10 @@
  * same experts, so counts vary more than independent ones, whose ratio is 1.
  */
 const DISPERSION = 8;
-/** Standard deviation of log popularity; the top of 128 experts is about 3.5. */
+/**
+ * Standard deviation of log popularity. The most popular of 128 experts gets
+ * about 3.5 times the tokens of a median one.
+ */
 const POPULARITY_SPREAD = 0.5;
 
 interface TraceDefinition {
@@ -113,7 +116,10 @@
       requestWork: (rank) => 0.15 + (0.3 * rank) / Math.max(ranks - 1, 1),
     }),
   },
-  /** Request work peaks on some ranks, and on the opposite ones ten minutes later. */
+  /**
+   * Request work peaks on some ranks, and on the opposite ones ten minutes
+   * later.
+   */
   "shifting-requests": {
     fitsInitialMap: true,
     popularity: drifting,
@@ -228,7 +234,9 @@
   return () => base;
 }
 
-/** Each expert's popularity rises and falls by a factor of 1.8 every two hours. */
+/**
+ * Each expert's popularity rises and falls by a factor of 1.8 every two hours.
+ */
 function drifting(base: Float64Array, random: Random): PopularityOverTime {
   const phases = base.map(() => 2 * Math.PI * random());
   return (window) =>
@@ -274,7 +282,9 @@
   };
 }
 
-/** Few experts take most of the tokens (Pareto), and popularity drifts slowly. */
+/**
+ * Few experts take most of the tokens (Pareto), and popularity drifts slowly.
+ */
 function heavyTail(base: Float64Array, random: Random): PopularityOverTime {
   const tail = base.map(() => -Math.log(1 - random()) / 1.5);
   const drift = drifting(tail, random);
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -62,7 +62,7 @@
   reports: DelayedReport[];
 }
 
-const MAX_KEPT_REPORTS = 4_096;
+const MAXIMUM_KEPT_REPORTS = 4_096;
 
 export const defaultEngineGroupSettings: EngineGroupSettings = {
   bytesPerExpert: 1,
@@ -107,9 +107,9 @@
     this.engines.delete(member);
   }
 
-  stall(member: string, until: number): void {
+  stall(member: string, untilMs: number): void {
     const engine = this.engines.get(member);
-    if (engine !== undefined) engine.stalledUntilMs = until;
+    if (engine !== undefined) engine.stalledUntilMs = untilMs;
   }
 
   call(
@@ -161,8 +161,8 @@
       if (peer === undefined) return false;
       const { group, step } = peer.register;
       if (!sameBallot(group, register.group)) return false;
-      const ended = step > register.step || now >= peer.busyUntilMs;
-      return step >= register.step && ended;
+      const hasEnded = step > register.step || now >= peer.busyUntilMs;
+      return step >= register.step && hasEnded;
     });
   }
 
@@ -203,9 +203,9 @@
     durationMs: number,
     now: number,
   ): void {
-    const delay = this.settings.reportDelayMs();
+    const delayMs = this.settings.reportDelayMs();
     const { group, activeMap, step } = engine.register;
-    if (delay === undefined || group === null || activeMap === undefined)
+    if (delayMs === undefined || group === null || activeMap === undefined)
       return;
     const { version } = activeMap;
     const mapHash = hashExpertMap(activeMap.map);
@@ -218,8 +218,8 @@
       durationMs,
       counts,
     };
-    engine.reports.push({ visibleAtMs: now + durationMs + delay, report });
-    if (engine.reports.length > MAX_KEPT_REPORTS) engine.reports.shift();
+    engine.reports.push({ visibleAtMs: now + durationMs + delayMs, report });
+    if (engine.reports.length > MAXIMUM_KEPT_REPORTS) engine.reports.shift();
   }
 }
 
--- a/standins/engine-runs.ts
+++ b/standins/engine-runs.ts
@@ -20,7 +20,9 @@
 }
 
 export interface Run extends RunOptions {
-  /** Prompt hash; processed of every output token, so tests can match the two. */
+  /**
+   * Prompt hash; part of every output token, so that tests can match the two.
+   */
   readonly digest: string;
   readonly startedAtMs: number;
   readonly pieces: string[];
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -29,7 +29,7 @@
   dropCacheEventEvery: number;
   /** Added to the duration of every step, to simulate a slow machine. */
   slowStepMs: number;
-  /** Answers new runs with 503. */
+  /** Answers requests to start a run with 503. */
   refuseRuns: boolean;
   /** Number of upcoming streams to cut after `PIECES_BEFORE_CUT` pieces. */
   cutStreams: number;
@@ -68,7 +68,7 @@
 }
 
 const DEFAULT_TOKENS = 16;
-const MAX_LOAD_SAMPLES = 512;
+const MAXIMUM_LOAD_SAMPLES = 512;
 const PIECES_BEFORE_CUT = 3;
 const DEFAULT_LIMITS: EngineLimits = {
   batchSize: 256,
@@ -92,7 +92,7 @@
   const step = (): void => {
     runs.step();
     engine.loadSamples.push({ atMs: Date.now(), load: runs.load() });
-    if (engine.loadSamples.length > MAX_LOAD_SAMPLES)
+    if (engine.loadSamples.length > MAXIMUM_LOAD_SAMPLES)
       engine.loadSamples.shift();
   };
   const stopSteps =
@@ -118,17 +118,17 @@
 
 /** Runs steps at a fixed rate; catches up after a late timer. */
 function startStepTimer(step: () => void, stepMs: () => number): () => void {
-  let next = performance.now() + stepMs();
+  let nextStepAtMs = performance.now() + stepMs();
   let stopped = false;
   const tick = (): void => {
     if (stopped) return;
-    const now = performance.now();
+    const nowMs = performance.now();
     if (stepMs() === 0) step();
     else {
-      for (; next <= now; next += stepMs()) step();
+      for (; nextStepAtMs <= nowMs; nextStepAtMs += stepMs()) step();
     }
     if (stepMs() === 0) setImmediate(tick);
-    else setTimeout(tick, Math.max(0, next - performance.now()));
+    else setTimeout(tick, Math.max(0, nextStepAtMs - performance.now()));
   };
   setTimeout(tick, stepMs());
   return () => {
@@ -272,12 +272,12 @@
 }
 
 function delayedLoad({ loadSamples, faults, runs }: Engine): object {
-  const now = Date.now();
+  const nowMs = Date.now();
   const sample = loadSamples.findLast(
-    ({ atMs }) => atMs <= now - faults.loadLagMs,
+    ({ atMs }) => atMs <= nowMs - faults.loadLagMs,
   );
-  const { atMs, load } = sample ?? { atMs: now, load: runs.load() };
-  return { ...load, ageMs: now - atMs };
+  const { atMs, load } = sample ?? { atMs: nowMs, load: runs.load() };
+  return { ...load, ageMs: nowMs - atMs };
 }
 
 function delayedCacheEvents({ runs, faults }: Engine, url: URL): object {
--- a/standins/keyed-store.ts
+++ b/standins/keyed-store.ts
@@ -23,7 +23,7 @@
 
 const STATUS_GONE = 410;
 const STATUS_UNAVAILABLE = 503;
-const MAX_WAIT_MS = 30_000;
+const MAXIMUM_WAIT_MS = 30_000;
 const LENGTH_PREFIX_BYTES = 4;
 
 class Topic {
@@ -131,10 +131,10 @@
   }
 
   /** Restores a snapshot; everything written after it is lost. */
-  restoreSnapshot(copy: StoreSnapshot): void {
+  restoreSnapshot(snapshot: StoreSnapshot): void {
     this.era += 1;
     for (const [name, topic] of this.topics)
-      topic.truncateTo(copy.get(name) ?? 0);
+      topic.truncateTo(snapshot.get(name) ?? 0);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -169,7 +169,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const from = Number(query.get("start_key"));
-    const waitMs = Math.min(Number(query.get("wait_ms")), MAX_WAIT_MS);
+    const waitMs = Math.min(Number(query.get("wait_ms")), MAXIMUM_WAIT_MS);
     await topic.waitForOffsetAfter(from, waitMs);
     response.setHeader(headerNames.storeEra, this.era);
     if (from < topic.firstOffset || from > topic.nextOffset) {
--- a/standins/weight-store.ts
+++ b/standins/weight-store.ts
@@ -26,7 +26,7 @@
 const WEIGHT_PATH = /^\/weights\/[^/]+\/\d+\/\d+$/;
 const RANGE_HEADER = /^bytes=(\d+)-(\d+)$/;
 /** Requests that would have to wait longer are rejected with 429. */
-const MAX_QUEUE_MS = 2_000;
+const MAXIMUM_QUEUE_WAIT_MS = 2_000;
 
 export async function startWeightStore(
   options: WeightStoreOptions,
@@ -54,7 +54,7 @@
       return;
     }
     const waitMs = Math.max(0, linkFreeAtMs - Date.now());
-    if (waitMs > MAX_QUEUE_MS) {
+    if (waitMs > MAXIMUM_QUEUE_WAIT_MS) {
       response.setHeader("retry-after", "1");
       sendJson(response, { error: "rate limit exceeded" }, 429);
       return;
--- a/tests/fuzz/expertmap.test.ts
+++ b/tests/fuzz/expertmap.test.ts
@@ -3,7 +3,10 @@
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 300;
-/** Seeds with which a slow mutation is found within a second. */
+/**
+ * Seeds with which mutations that take long to detect with seed 1 are found
+ * within a second.
+ */
 const seeds: Readonly<Partial<Record<string, number>>> = { refuseBeforeNo: 4 };
 
 describe("expert map under random faults", () => {
@@ -97,8 +100,8 @@
 
     // Guards against a group that is stuck forever: an engine restarts, and a
     // delayed order to stage reaches the new process. The engine then names the
-    // map for which its predecessor fetched weights, so the agent takes all
-    // weights for fetched.
+    // map for which its predecessor fetched weights, so the agent concludes
+    // that all weights have been fetched.
     it("fetches weights again after an engine has lost them", () => {
       const propose = { kind: "propose", member: 0, map: 0 } as const;
       const steps = [
--- a/tests/platform/direct-path.test.ts
+++ b/tests/platform/direct-path.test.ts
@@ -121,18 +121,18 @@
   describe("refuses", () => {
     it("unknown paths, unknown keys and bodies over the limit", async () => {
       await using site = await EntrySite.createWithRunners(answerWith("ok"));
-      const unknown = await site.call({ path: "/nowhere/" });
-      const stranger = await site.call({
+      const unknownPath = await site.call({ path: "/nowhere/" });
+      const unknownKey = await site.call({
         path: "/often/a",
         headers: { [headerNames.credential]: "wrong" },
       });
-      const large = await site.call({
+      const largeBody = await site.call({
         path: "/once/a",
         method: "POST",
         body: "x".repeat(1001),
       });
       assert.equal(
-        [unknown.status, stranger.status, large.status],
+        [unknownPath.status, unknownKey.status, largeBody.status],
         [404, 401, 413],
       );
       assert.is(countArrivals(site), 0);
@@ -253,10 +253,10 @@
       // The caller closes its connection. The entry closes the connection to
       // the runner, so that the runner stops working on the request.
       await using site = await EntrySite.createWithRunners(neverRespond);
-      const leaving = new AbortController();
-      const call = site.call({ path: "/often/a", signal: leaving.signal });
+      const disconnect = new AbortController();
+      const call = site.call({ path: "/often/a", signal: disconnect.signal });
       await site.waitUntil(() => countArrivals(site) === 1);
-      leaving.abort();
+      disconnect.abort();
       await call.catch(() => undefined);
       await site.waitUntil(() => site.runners[0].receivedRequests[0].isAborted);
     });
@@ -306,7 +306,7 @@
 
     it("framing that the runner's response didn't have", async () => {
       // The response has no length, and its runner dies inside the body. The
-      // connection closes in order, as it does after a complete response. A
+      // connection closes normally, as it does after a complete response. A
       // content-length set by the entry would present half of the body as all
       // of it; closing the connection the same way leaves the caller with the
       // same uncertainty.
--- a/tests/platform/entry-site.ts
+++ b/tests/platform/entry-site.ts
@@ -195,8 +195,12 @@
     state: string,
     fields: Readonly<Record<string, unknown>> = {},
   ): void {
-    const entry = { ...this.nextRegistration(address), state, ...fields };
-    this.store.put(topics.register, id, entry);
+    const registration = {
+      ...this.nextRegistration(address),
+      state,
+      ...fields,
+    };
+    this.store.put(topics.register, id, registration);
   }
 
   /**
--- a/tests/platform/failing-group.test.ts
+++ b/tests/platform/failing-group.test.ts
@@ -32,9 +32,9 @@
     }
     const addresses = site.runners.map(({ address }) => address);
     const groups = [addresses.slice(0, 2), addresses.slice(2)];
-    groups.forEach((members, at) => {
+    groups.forEach((members, index) => {
       const note = { service: "service", epoch: 1, addresses: members };
-      site.store.put(topics.groups, `service.${at}`, note);
+      site.store.put(topics.groups, `service.${index}`, note);
     });
     await site.waitUntil(async () => (await site.readiness()) === 200);
     await site.waitUntil(() => site.entry.runnerCount === 4);
--- a/tests/platform/response-completeness.test.ts
+++ b/tests/platform/response-completeness.test.ts
@@ -19,7 +19,7 @@
 const CODING_WITH_TAB = "transfer-encoding: chunked\t\r\n";
 /** More than the socket buffers hold when the caller doesn't read. */
 const LATE_RESPONSE_BYTES = 12_000_000;
-/** By then the entry has received the response, ms. */
+/** Long enough for the entry to receive the response, ms. */
 const LATE_READ_DELAY_MS = 400;
 const EVENTS_STREAM = "content-type: text/event-stream\r\n";
 
@@ -178,8 +178,8 @@
   describe("that is known to be truncated", () => {
     it("is a reset when nothing else would show it", async () => {
       // The runner's connection is reset after the first event, and no other
-      // runner can resume the stream. Without length or chunks, closing the
-      // caller's connection in order would present the truncated stream as a
+      // runner can resume the stream. Without length or chunks, a normal close
+      // of the caller's connection would present the truncated stream as a
       // complete one.
       await using site = await EntrySite.createWithRunners(
         answerRaw(EVENTS_STREAM, formatEvent(1), "reset"),
@@ -234,7 +234,7 @@
 
     it("is a reset when the entry stops before a slow caller has read everything", async () => {
       // The caller reads slowly, so most of the response is still buffered in
-      // the entry when the entry stops. Closing the connection in order, since
+      // the entry when the entry stops. Closing the connection normally, since
       // the request itself has ended, would present part of the body as a
       // complete response.
       const body = "a".repeat(LATE_RESPONSE_BYTES);
@@ -250,7 +250,7 @@
 
     it("is a reset when the entry stops", async () => {
       // The entry's grace period ends while the stream is running. When the
-      // process exits, the kernel closes the connection in order unless the
+      // process exits, the kernel closes the connection normally unless the
       // entry resets it first.
       const site = await EntrySite.createWithRunners(streamEndlessly);
       const call = site.call({
--- a/tests/platform/timeouts.test.ts
+++ b/tests/platform/timeouts.test.ts
@@ -37,8 +37,8 @@
   // connection to the store falls silent. If only weak references lead to the
   // call's timeout, it is collected as garbage and never fires: the entry stops
   // following the register, and requests go to runners that have left until the
-  // entry restarts. With 300 earlier calls 20 of 20 calls timed out, with 1000
-  // none did.
+  // entry restarts. With that fault, 20 of 20 calls timed out after 300 earlier
+  // calls, and none after 1000.
 
   it("to the platform's store times out", async () => {
     await using store = await KeyedStore.create();
--- a/tests/platform/topic-follower.test.ts
+++ b/tests/platform/topic-follower.test.ts
@@ -188,7 +188,7 @@
     // A call to a silent store times out only after a second, so the store may
     // have been reachable long before the first successful call. Grace periods
     // that start at the store's return need a time at which it was certainly
-    // still away.
+    // still unavailable.
     await using observer = await TopicObserver.create();
     await observer.waitUntil(() => observer.snapshotCount === 1);
     observer.store.availability = "silent";
--- a/tests/platform/truncated-responses.test.ts
+++ b/tests/platform/truncated-responses.test.ts
@@ -20,7 +20,7 @@
   announcesClose: false,
   end: "close",
 };
-const SIGNAL_MS = 5000;
+const READ_TIMEOUT_MS = 5000;
 const PART_BYTES = 64;
 
 interface Reader {
@@ -107,7 +107,7 @@
     body: newest,
     read: (address) =>
       withStore(address, (client) =>
-        client.keyedTopic("topic").newest(AbortSignal.timeout(SIGNAL_MS)),
+        client.keyedTopic("topic").newest(AbortSignal.timeout(READ_TIMEOUT_MS)),
       ),
   },
   {
@@ -139,7 +139,10 @@
     body: { running: 1, waiting: 2 },
     read: async (address) => {
       await using client = RunnerClient.create(`http://${address}`);
-      return await client.getJson("/load", AbortSignal.timeout(SIGNAL_MS));
+      return await client.getJson(
+        "/load",
+        AbortSignal.timeout(READ_TIMEOUT_MS),
+      );
     },
   },
   {
@@ -184,9 +187,9 @@
 describe("a truncated response", () => {
   // A reader that takes part of a response for all of it continues with
   // truncated weights, a list without its last VMs or a status without some
-  // processes. The server ends inside its response, and the connection is
-  // closed or reset; without length or chunks, HTTP regards that as a regular
-  // end.
+  // processes. The server sends part of its response, and the connection is
+  // closed or reset; without length or chunks, HTTP regards a close as a
+  // regular end.
   for (const reader of readers) {
     it(`is rejected by the reader: ${reader.name}`, async () => {
       assert.not.equal(await readTruncated(reader, COMPLETE, 1), undefined);
--- a/tests/platform/unusable-records.test.ts
+++ b/tests/platform/unusable-records.test.ts
@@ -49,7 +49,7 @@
   it("in the first read leave the other records usable", async () => {
     // Another program has written into the register before the entry starts. If
     // that made the first read fail, the entry would never become ready, and
-    // the balancer in front of it would have no entry to send callers to.
+    // the load balancer in front of it would have no entry to send callers to.
     await using decoy = await startDecoy();
     await using site = await EntrySite.create((store) => {
       const validRegistration = {
@@ -191,11 +191,11 @@
       await using site = await EntrySite.createWithRunners(answerWith("ok"));
       const other = await SigningRunner.create("x1", answerWith("later"));
       site.runners.push(other);
-      const entry = {
+      const registration = {
         ...site.nextRegistration(other.address),
         backend: "service-2",
       };
-      site.store.put(topics.register, "x1", entry);
+      site.store.put(topics.register, "x1", registration);
       await site.assertEventually(
         "the registration is known",
         () => site.entry.runnerCount === 2,
--- a/tests/support/fuzz.ts
+++ b/tests/support/fuzz.ts
@@ -6,13 +6,16 @@
 import type { FuzzTarget } from "../../fuzz/target.js";
 import { describe, it } from "./describe.js";
 
-export interface FuzzCases {
+export interface FuzzTestSettings {
   readonly seed: number;
   readonly runs: number;
 }
 
-export function describeFuzzTarget(target: FuzzTarget, cases: FuzzCases): void {
-  const { seed, runs } = cases;
+export function describeFuzzTarget(
+  target: FuzzTarget,
+  settings: FuzzTestSettings,
+): void {
+  const { seed, runs } = settings;
   describe(`fuzz target ${target.name}`, () => {
     it(`finds no violation in ${runs} histories of seed ${seed}`, async () => {
       const result = await target.run({ seed, runs });
--- a/tests/support/truncating-server.ts
+++ b/tests/support/truncating-server.ts
@@ -48,9 +48,9 @@
 export async function startTruncatingServer(
   answer: TruncatedResponse,
 ): Promise<TruncatingServer> {
-  const open = new Set<Socket>();
+  const openSockets = new Set<Socket>();
   const server = createServer((socket) => {
-    open.add(socket);
+    openSockets.add(socket);
     socket.on("error", () => undefined);
     socket.once("data", () => {
       send(socket, answer);
@@ -62,7 +62,7 @@
   return {
     address: `127.0.0.1:${port}`,
     async [Symbol.asyncDispose]() {
-      for (const socket of open) socket.destroy();
+      for (const socket of openSockets) socket.destroy();
       await new Promise((resolve) => server.close(resolve));
     },
   };
--- a/tests/support/wait.ts
+++ b/tests/support/wait.ts
@@ -9,9 +9,9 @@
 }
 
 export async function waitFor(condition: () => boolean): Promise<void> {
-  const deadline = Date.now() + MAXIMUM_WAIT_MS;
+  const deadlineAtMs = Date.now() + MAXIMUM_WAIT_MS;
   while (!condition()) {
-    if (Date.now() > deadline)
+    if (Date.now() > deadlineAtMs)
       throw new TypeError("the condition was not met within 10 s");
     await pause(POLL_INTERVAL_MS);
   }
