--- a/demo/site-group.ts
+++ b/demo/site-group.ts
@@ -47,7 +47,7 @@
 const LOST_REPORT_SHARE = 0.05;
 const SKEW_SAMPLE_STEPS = 200;
 const MINIMUM_SAMPLE_STEPS = 50;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 export class SiteGroup implements AsyncDisposable {
   readonly steps: StepRecord[] = [];
@@ -149,7 +149,7 @@
     for (;;) {
       const sample = this.skew();
       if (sample.steps >= MINIMUM_SAMPLE_STEPS) return sample;
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
--- a/demo/site.ts
+++ b/demo/site.ts
@@ -58,7 +58,7 @@
   readonly backends: readonly { readonly live: boolean }[];
 }
 
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 const GRACE_MS = 10_000;
 const WINDOW_STEPS = 200;
 
@@ -177,6 +177,6 @@
     const status = (await readStatus(operators)) as EntryStatus;
     const live = status.backends.filter((item) => item.live).length;
     if (status.version !== null && live === backendServerCount) return;
-    await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/fuzz/claims/simulation.ts
+++ b/fuzz/claims/simulation.ts
@@ -30,7 +30,7 @@
 
 const START_MS = 1_800_000_000_000;
 const NETWORK_DELAY_MS = 1;
-const TICK_MS = 50;
+const TICK_INTERVAL_MS = 50;
 const CALL_TIMEOUT_MS = 2_000;
 const APPENDS_PER_SECOND = 1_000;
 const ACCOUNT = "crews";
@@ -475,7 +475,7 @@
   }
 
   private scheduleTick(index: number, incarnation: number): void {
-    this.time.schedule(TICK_MS, () => {
+    this.time.schedule(TICK_INTERVAL_MS, () => {
       const entry = this.entries[index];
       if (entry.incarnation !== incarnation) return;
       if (entry.isPaused) {
--- a/fuzz/drain.ts
+++ b/fuzz/drain.ts
@@ -9,7 +9,7 @@
 import { Simulation } from "./requests/simulation.js";
 import type { FuzzTarget } from "./target.js";
 
-const MAXIMUM_HISTORY_LENGTH = 40;
+const MAXIMUM_HISTORY_STEPS = 40;
 const DEADLINE_MS = 300_000;
 
 /** Maximum histories until the absence of a safeguard is detected. */
@@ -58,7 +58,7 @@
         commands: drainCommands,
         createSimulation: () => createSimulation(without),
         findViolations: findDrainViolations,
-        maximumLength: MAXIMUM_HISTORY_LENGTH,
+        maximumLength: MAXIMUM_HISTORY_STEPS,
       },
       settings,
     );
--- a/fuzz/expertmap-simulation.ts
+++ b/fuzz/expertmap-simulation.ts
@@ -24,7 +24,7 @@
   type StepRecord,
 } from "../standins/engine-group.js";
 
-export const TICK_MS = 10;
+export const TICK_INTERVAL_MS = 10;
 const CALL_TIMEOUT_TICKS = 30;
 const BYTES_PER_EXPERT = 100;
 const SHAPE = { ranks: 3, layers: 1, experts: 4, slotsPerRank: 2 };
@@ -90,7 +90,7 @@
     this.engines = EngineGroup.create({
       ...defaultEngineGroupSettings,
       bytesPerExpert: BYTES_PER_EXPERT,
-      stepMs: TICK_MS,
+      stepMs: TICK_INTERVAL_MS,
       enforcesHolds: settings.engineHolds,
       onStep: (record) => this.steps.push(record),
     });
@@ -238,7 +238,7 @@
   }
 
   private tick(): void {
-    this.now += TICK_MS;
+    this.now += TICK_INTERVAL_MS;
     const tasks = this.tasksByTime.get(this.now) ?? [];
     this.tasksByTime.delete(this.now);
     for (const task of tasks) task();
@@ -249,7 +249,7 @@
   }
 
   private after(ticks: number, task: () => void): void {
-    const at = this.now + Math.max(1, ticks) * TICK_MS;
+    const at = this.now + Math.max(1, ticks) * TICK_INTERVAL_MS;
     const tasks = this.tasksByTime.get(at);
     if (tasks === undefined) this.tasksByTime.set(at, [task]);
     else tasks.push(task);
--- a/fuzz/expertmap.ts
+++ b/fuzz/expertmap.ts
@@ -10,7 +10,7 @@
 import { allSwitchSafeguards, ballotKey } from "../src/internal.js";
 import {
   candidateMap,
-  TICK_MS,
+  TICK_INTERVAL_MS,
   GroupSimulation,
   type CallFault,
 } from "./expertmap-simulation.js";
@@ -133,7 +133,8 @@
 
 function inject(simulation: GroupSimulation, fault: Fault): void {
   const name = (index: number): string => simulation.memberNames[index] ?? "";
-  const until = (ticks: number): number => simulation.now + ticks * TICK_MS;
+  const until = (ticks: number): number =>
+    simulation.now + ticks * TICK_INTERVAL_MS;
   switch (fault.kind) {
     case "propose":
       simulation.propose(name(fault.member), candidateMap(fault.map));
@@ -249,7 +250,7 @@
   );
 }
 
-export const expertmap: FuzzTarget = {
+export const expertmapTarget: FuzzTarget = {
   name: "expertmap",
   mutations: {
     armBeforeYes: 500,
--- a/fuzz/orders-simulation.ts
+++ b/fuzz/orders-simulation.ts
@@ -23,7 +23,7 @@
   type Random,
 } from "../src/internal.js";
 
-export const TICK_MS = 10;
+export const TICK_INTERVAL_MS = 10;
 const EFFECT_TICKS = 30;
 const CALL_TIMEOUT_TICKS = 5;
 /** Lag of a slow reader of the log, ms. */
@@ -150,14 +150,14 @@
 
   private createExecutor(): OrderExecutor {
     const { checksFencing, safeguards } = this.settings;
-    const effectMs = EFFECT_TICKS * TICK_MS;
+    const effectMs = EFFECT_TICKS * TICK_INTERVAL_MS;
     this.executorGeneration += 1;
     const engine = { checksFencing, effectMs };
     return OrderExecutor.create(engine, ignoreEvents, this.now, safeguards);
   }
 
   private tick(): void {
-    this.now += TICK_MS;
+    this.now += TICK_INTERVAL_MS;
     const tasks = this.tasksByTime.get(this.now) ?? [];
     this.tasksByTime.delete(this.now);
     for (const task of tasks) task();
@@ -165,13 +165,13 @@
     if (this.holders.every((item) => this.mayAct(item))) {
       this.violations.push(`two holders act at ${this.now}`);
     }
-    if ((this.now / TICK_MS) % LOG_READ_INTERVAL_TICKS === 0)
+    if ((this.now / TICK_INTERVAL_MS) % LOG_READ_INTERVAL_TICKS === 0)
       this.agentReadsLog();
     this.carryOut(this.executor.tick(this.now));
   }
 
   private after(ticks: number, task: () => void): void {
-    const at = this.now + Math.max(1, ticks) * TICK_MS;
+    const at = this.now + Math.max(1, ticks) * TICK_INTERVAL_MS;
     this.tasksByTime.set(at, [...(this.tasksByTime.get(at) ?? []), task]);
   }
 
--- a/fuzz/orders.ts
+++ b/fuzz/orders.ts
@@ -7,7 +7,7 @@
  */
 import fc from "fast-check";
 import { allOrderSafeguards } from "../src/internal.js";
-import { OrdersSimulation, TICK_MS } from "./orders-simulation.js";
+import { OrdersSimulation, TICK_INTERVAL_MS } from "./orders-simulation.js";
 import { runCheckedHistories } from "./run-checked-histories.js";
 import type { FuzzResult, FuzzSettings, FuzzTarget } from "./target.js";
 
@@ -80,7 +80,8 @@
 });
 
 function applyCommand(simulation: OrdersSimulation, next: Command): void {
-  const until = (count: number): number => simulation.now + count * TICK_MS;
+  const until = (count: number): number =>
+    simulation.now + count * TICK_INTERVAL_MS;
   switch (next.kind) {
     case "order":
       simulation.order(next.value, next.delayTicks);
@@ -148,7 +149,7 @@
   );
 }
 
-export const orders: FuzzTarget = {
+export const ordersTarget: FuzzTarget = {
   name: "orders",
   mutations: {
     waitsOut: 2_000,
--- a/measure/support/site.ts
+++ b/measure/support/site.ts
@@ -44,7 +44,7 @@
 export const DATA_CENTRES = ["caerdydd", "abertawe", "casnewydd"] as const;
 /** One-way network delay between data centres. */
 const CROSS_DATA_CENTRE_DELAY_MS = 0.5;
-const CAPACITY_TICK_MS = 100;
+const CAPACITY_TICK_INTERVAL_MS = 100;
 
 export interface Attempt {
   readonly call: Call;
@@ -93,7 +93,7 @@
         : AgentLimit.create({ slots, queueShare }),
     );
     this.reportLoads();
-    this.clock.scheduleEvery(CAPACITY_TICK_MS, 0, () => {
+    this.clock.scheduleEvery(CAPACITY_TICK_INTERVAL_MS, 0, () => {
       this.addCapacity();
     });
   }
@@ -160,7 +160,8 @@
   private addCapacity(): void {
     for (const { isDown, slowdown } of this.runners) {
       if (isDown) continue;
-      this.capacityMs += (CAPACITY_TICK_MS * this.settings.slots) / slowdown;
+      this.capacityMs +=
+        (CAPACITY_TICK_INTERVAL_MS * this.settings.slots) / slowdown;
     }
   }
 
--- a/src/balance/balancer.ts
+++ b/src/balance/balancer.ts
@@ -172,8 +172,8 @@
 
   /**
    * Whether the plan is worthwhile by the mean of its predicted saving and its
-   * saving on recent windows. The latter is weighted by the share of demand that
-   * is known to return to earlier levels.
+   * saving on recent windows. The latter is weighted by the share of demand
+   * that is known to return to earlier levels.
    */
   private isWorthwhileOnHistory(plan: MovePlan, input: PlanInput): boolean {
     const { map, ranks, confidence } = input;
--- a/src/balance/layer-search.ts
+++ b/src/balance/layer-search.ts
@@ -105,7 +105,9 @@
     return this.times[this.slowestRank()];
   }
 
-  /** Standard deviation of the slowest rank's time, from the tokens' variance. */
+  /**
+   * Standard deviation of the slowest rank's time, from the tokens' variance.
+   */
   slowestDeviation(variance: ArrayLike<number>): number {
     const slowest = this.slowestRank();
     const start = slowest * this.shape.slotsPerRank;
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -46,7 +46,7 @@
     queue: z
       .strictObject({
         maximumTokens: positiveInteger.describe(
-          "Most work waiting in one entry, in tokens.",
+          "Maximum work waiting in one entry, in tokens.",
         ),
         maximumWaitMs: positiveInteger,
       })
@@ -58,7 +58,7 @@
       .array(name)
       .readonly()
       .optional()
-      .describe("Accounts that may use it; all of them when absent."),
+      .describe("Client accounts that may use the profile; all if absent."),
   })
   .readonly();
 
@@ -75,7 +75,7 @@
       .number()
       .positive()
       .default(1)
-      .describe("Share of a contended resource against the other accounts."),
+      .describe("Weight against other accounts when a resource is contended."),
     limit: z
       .strictObject({
         tokensPerSecond: z.number().positive(),
--- a/src/daemon/configuration/follower.ts
+++ b/src/daemon/configuration/follower.ts
@@ -38,7 +38,7 @@
 import { followPeer } from "./feed-client.js";
 import { FEED_HEARTBEAT_INTERVAL_MS, FeedServer } from "./feed-server.js";
 
-const LONG_POLL_MS = 2000;
+const LONG_POLL_TIMEOUT_MS = 2000;
 const RETRY_INTERVAL_MS = 300;
 const CHECKPOINT_CHECK_INTERVAL_MS = 5000;
 
@@ -236,7 +236,8 @@
     try {
       const page = await this.options.log.read(CONFIGURATION_STREAM, {
         from,
-        waitMs: this.logOutageStartedAtMs === undefined ? LONG_POLL_MS : 0,
+        waitMs:
+          this.logOutageStartedAtMs === undefined ? LONG_POLL_TIMEOUT_MS : 0,
         signal,
       });
       this.onLogAnswered();
--- a/src/daemon/entry/claim-tasks.ts
+++ b/src/daemon/entry/claim-tasks.ts
@@ -20,7 +20,7 @@
 import { pause } from "../background-task.js";
 import type { ProcessContext } from "../process-context.js";
 
-const LONG_POLL_MS = 2000;
+const LONG_POLL_TIMEOUT_MS = 2000;
 const READ_RETRY_INTERVAL_MS = 200;
 const ACTIVE_TICK_INTERVAL_MS = 10;
 const IDLE_TICK_INTERVAL_MS = 100;
@@ -97,7 +97,7 @@
       try {
         const page = await this.options.log.read(claimStream(shard), {
           from: this.coordinator.nextOffset(shard),
-          waitMs: hasOutage ? 0 : LONG_POLL_MS,
+          waitMs: hasOutage ? 0 : LONG_POLL_TIMEOUT_MS,
           signal,
         });
         this.onReadAnswered(shard);
--- a/src/daemon/orders/order-task.ts
+++ b/src/daemon/orders/order-task.ts
@@ -33,7 +33,7 @@
 }
 
 /** Long-poll timeout; the log responds earlier as soon as it has a record. */
-const LONG_POLL_MS = 2_000;
+const LONG_POLL_TIMEOUT_MS = 2_000;
 const TICK_INTERVAL_MS = 50;
 /** Delay before an order that the engine didn't confirm in time is retried. */
 const RETRY_INTERVAL_MS = 5_000;
@@ -95,7 +95,7 @@
   async followLog(signal: AbortSignal): Promise<void> {
     let isAtEnd = false;
     while (!signal.aborted) {
-      isAtEnd = await this.readPage(isAtEnd ? LONG_POLL_MS : 0, signal);
+      isAtEnd = await this.readPage(isAtEnd ? LONG_POLL_TIMEOUT_MS : 0, signal);
     }
   }
 
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -15,7 +15,9 @@
 const listen = z
   .strictObject({
     host: z.string().default("127.0.0.1"),
-    port: port.default(0).describe("0 lets the system hand out a port."),
+    port: port
+      .default(0)
+      .describe("0 lets the operating system choose a port."),
   })
   .readonly();
 
@@ -89,7 +91,7 @@
       .int()
       .min(1024)
       .default(16 * MIB)
-      .describe("Largest whole answer that is held back until it is complete."),
+      .describe("Largest answer held back until it is complete, in bytes."),
   })
   .readonly();
 
@@ -104,8 +106,14 @@
       .number()
       .min(0)
       .default(0.5)
-      .describe("Requests beyond the slots that an agent takes, as a share."),
-    stepMs: z.number().positive().default(5).describe("One engine step, ms."),
+      .describe(
+        "Requests that an agent takes beyond its slots, as a share of the slots.",
+      ),
+    stepMs: z
+      .number()
+      .positive()
+      .default(5)
+      .describe("Duration of one engine step, ms."),
     prefillMsPerToken: z
       .number()
       .min(0)
@@ -125,7 +133,7 @@
       .number()
       .min(0)
       .default(1)
-      .describe("Round trip to another data centre, ms."),
+      .describe("Round-trip time to another data centre, ms."),
   })
   .readonly();
 
@@ -154,7 +162,7 @@
       .boolean()
       .default(false)
       .describe(
-        "Whether the engine refuses an order with an old fencing number.",
+        "Whether the engine refuses an order with an old fencing token.",
       ),
     orderEffectMs: z
       .int()
@@ -186,7 +194,9 @@
           .int()
           .min(1)
           .default(256)
-          .describe("Requests running at once; the last word on new work."),
+          .describe(
+            "Maximum number of requests running at once; more are refused.",
+          ),
         weightBytesPerSecond: z
           .int()
           .min(1)
@@ -196,7 +206,7 @@
           .int()
           .min(10)
           .default(DEFAULT_WINDOW_SETTINGS.windowSteps)
-          .describe("Steps of one window of the balance of experts."),
+          .describe("Engine steps in one window of the expert balance."),
       })
       .readonly()
       .prefault({}),
--- a/src/direct/entry-topics.ts
+++ b/src/direct/entry-topics.ts
@@ -41,12 +41,12 @@
  * Long-poll timeout of the configuration topic, ms. The store answers as soon
  * as there is a change; a silent connection is detected after this time.
  */
-const CONFIGURATION_LONG_POLL_MS = 2000;
+const CONFIGURATION_LONG_POLL_TIMEOUT_MS = 2000;
 /**
  * Long-poll timeout of notes of planners and other entries, ms. Notes are rare,
  * and an undetected silent connection only delays them.
  */
-const NOTES_LONG_POLL_MS = 10_000;
+const NOTES_LONG_POLL_TIMEOUT_MS = 10_000;
 
 const noop = (): void => undefined;
 
@@ -73,7 +73,7 @@
     { onLost, onRestored }: TopicOutageHandlers,
   ): void {
     this.follow(CONFIGURATION_STREAM, topic, {
-      waitMs: CONFIGURATION_LONG_POLL_MS,
+      waitMs: CONFIGURATION_LONG_POLL_TIMEOUT_MS,
       intervalMs: () => 0,
       onSnapshot: onRecords,
       onChanges: onRecords,
@@ -90,7 +90,7 @@
     onRecords: RecordsHandler,
   ): void {
     this.follow(name, topic, {
-      waitMs: NOTES_LONG_POLL_MS,
+      waitMs: NOTES_LONG_POLL_TIMEOUT_MS,
       intervalMs: () => 0,
       onSnapshot: onRecords,
       onChanges: onRecords,
@@ -115,9 +115,9 @@
         ),
       onSnapshot,
       onChanges,
-      onReturned: (lastBeforeMs) => {
+      onReturned: (lastCallWithoutNewEraAtMs) => {
         this.storeAvailableSinceMs = performance.now();
-        onReturned(lastBeforeMs);
+        onReturned(lastCallWithoutNewEraAtMs);
       },
       onLost,
       onRestored: (lastFailedAtMs) => {
--- a/src/direct/entry.ts
+++ b/src/direct/entry.ts
@@ -101,7 +101,7 @@
 const BALANCER_NOTICE_MS = 2600;
 /** Share of the grace period during which running requests may finish. */
 const DRAIN_SHARE_OF_GRACE = 0.92;
-const DRAIN_POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 export class DirectEntry implements AsyncDisposable {
   private readonly events: EventLog;
@@ -285,7 +285,7 @@
     const startedAtMs = performance.now();
     const elapsedMs = (): number => performance.now() - startedAtMs;
     while (elapsedMs() < BALANCER_NOTICE_MS)
-      await pause(DRAIN_POLL_MS, this.stopController.signal);
+      await pause(DRAIN_POLL_INTERVAL_MS, this.stopController.signal);
     this.isClosed = true;
     this.server.close();
     while (
@@ -293,7 +293,7 @@
       elapsedMs() < graceMs * DRAIN_SHARE_OF_GRACE
     ) {
       this.server.closeIdleConnections();
-      await pause(DRAIN_POLL_MS, this.stopController.signal);
+      await pause(DRAIN_POLL_INTERVAL_MS, this.stopController.signal);
     }
     this.emit(103, { cutRequests: this.openResponses.size });
   }
@@ -397,8 +397,8 @@
         this.hasReadRegister = true;
       },
       {
-        onReturned: (lastBeforeMs) => {
-          directory.onStoreRolledBack(lastBeforeMs);
+        onReturned: (lastCallWithoutNewEraAtMs) => {
+          directory.onStoreRolledBack(lastCallWithoutNewEraAtMs);
         },
         onLost: () => {
           directory.onStoreLost();
--- a/src/direct/forwarder.ts
+++ b/src/direct/forwarder.ts
@@ -63,7 +63,7 @@
 const REFUSED_RETRY_AFTER_MS = 300;
 
 /** Status with which a runner answers a request that names another runner. */
-const MISDIRECTED_STATUS = 421;
+const HTTP_MISDIRECTED_REQUEST = 421;
 
 /** Result of an admitted request. */
 interface ForwardResult {
@@ -509,7 +509,7 @@
     case "answered":
       return end.answer.status < 500 ? "served" : "none";
     case "not-run":
-      return end.status === MISDIRECTED_STATUS ? "replaced" : "full";
+      return end.status === HTTP_MISDIRECTED_REQUEST ? "replaced" : "full";
     case "unsent":
     case "broken":
       return "failed";
--- a/src/direct/settings.ts
+++ b/src/direct/settings.ts
@@ -28,13 +28,13 @@
   store,
   metrics: address
     .optional()
-    .describe("Where operators fetch metrics; none without it."),
+    .describe("Address at which metrics are served; without it, none are."),
   logLevel: z.enum(["debug", "info", "warn", "error"]).default("info"),
   graceSeconds: z
     .number()
     .min(0)
     .default(8)
-    .describe("Time between the request to stop and the kill, s."),
+    .describe("Time between the request to stop and the forced end, s."),
 };
 
 const entrySettings = z
@@ -56,7 +56,9 @@
     role: z.literal("agent"),
     ...common,
     runner: address.describe("The runner beside this process."),
-    peers: address.describe("Where the planner of the group asks this agent."),
+    peers: address.describe(
+      "Address at which the group's planner calls this agent.",
+    ),
     service: z.string().min(1),
   })
   .readonly();
--- a/src/expertmap/formation.ts
+++ b/src/expertmap/formation.ts
@@ -103,8 +103,10 @@
 const STAGGER_MS = 200;
 const RESEND_INTERVAL_MS = 100;
 /**
- * Longer than any step. An engine without progress for this time is stalled,
- * and its agent sends its incarnation to the other members.
+ * An engine without progress for this time counts as stalled, and its agent
+ * sends its incarnation to the other members. It is longer than usual steps,
+ * but a step may take longer: the proposer assumes up to 1 s. The message then
+ * has no effect on members of the same incarnation.
  */
 const STALL_TIMEOUT_MS = 500;
 const STALL_REPORT_INTERVAL_MS = 200;
@@ -187,7 +189,8 @@
   /**
    * Another member is stalled. If it belongs to another incarnation than this
    * engine, both would wait for each other forever and a formation is needed. A
-   * group that makes progress doesn't send this message.
+   * group whose steps are shorter than `STALL_TIMEOUT_MS` doesn't send this
+   * message.
    */
   receiveStanding(from: string, group: Ballot | null): void {
     this.stalledMembers.set(from, group);
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -123,12 +123,12 @@
 
   /**
    * The store was rolled back to an older copy; the whole register is read
-   * next. The grace period counts from the last call before the rollback was
-   * seen, monotonic ms.
+   * next. The grace period counts from the start of the last call that didn't
+   * show the new era, monotonic ms.
    */
-  onStoreRolledBack(lastBeforeMs: number): void {
+  onStoreRolledBack(lastCallWithoutNewEraAtMs: number): void {
     this.tombstones.onStoreRolledBack();
-    this.restoredAtMs = Math.max(this.restoredAtMs, lastBeforeMs);
+    this.restoredAtMs = Math.max(this.restoredAtMs, lastCallWithoutNewEraAtMs);
   }
 
   apply(changes: readonly RegisterChange[]): void {
--- a/src/orders/lease.ts
+++ b/src/orders/lease.ts
@@ -79,7 +79,8 @@
 
 /**
  * Share of the lease duration by which a holder stops before others may take
- * over. Allows clocks to drift apart by a hundredth within a lease.
+ * over. Clocks are taken to drift apart by at most a hundredth of the duration
+ * within a lease, so the margin of a tenth is ten times the drift.
  */
 const SAFETY_MARGIN_SHARE = 0.1;
 /**
@@ -155,8 +156,8 @@
   }
 
   /**
-   * Applies a record read from the log, which also shows whether an own append
-   * succeeded.
+   * Applies a record read from the log, which also shows whether an append of
+   * this process succeeded.
    */
   observe(record: LeaseRecord, offset: number, now: number): void {
     const before = this.lease;
--- a/src/placement/runner.ts
+++ b/src/placement/runner.ts
@@ -7,7 +7,7 @@
 import { RunnerHealth } from "./health.js";
 import type { RunnerDescription, RunnerLoad } from "./types.js";
 
-/** Changes of the own count kept, to look it up at the time of a report. */
+/** Number of changes of `ownCount` kept, to look it up at a report's time. */
 const HISTORY_LENGTH = 32;
 /** Weight of a new observation in the moving average of slowness. */
 const SLOWNESS_SMOOTHING_FACTOR = 0.2;
--- a/src/platform/topic-follower.ts
+++ b/src/platform/topic-follower.ts
@@ -50,7 +50,7 @@
    * argument is the start of the last call that didn't show the new era, on the
    * clock of `performance.now()`.
    */
-  readonly onReturned: (lastBeforeMs: number) => void;
+  readonly onReturned: (lastCallWithoutNewEraAtMs: number) => void;
   readonly onLost: () => void;
   /**
    * The store answers again; called before the records read are applied. The
@@ -75,7 +75,7 @@
   private era: number | undefined;
   private cause: FullReadCause = "start";
   /** Start of the last call that didn't show a new era. */
-  private lastCallInEraAtMs = 0;
+  private lastCallWithoutNewEraAtMs = 0;
   private failures = 0;
   private lostAtMs = 0;
   private lastFailedAtMs = 0;
@@ -111,7 +111,7 @@
         return;
       }
       this.lastFailedAtMs = calledAtMs;
-      this.lastCallInEraAtMs = calledAtMs;
+      this.lastCallWithoutNewEraAtMs = calledAtMs;
       this.onFailure(failure.message);
       await this.backOff();
     }
@@ -122,7 +122,7 @@
     if (this.offset === undefined) {
       const page = await topic.newest(this.signal);
       this.updateEra(page.era);
-      this.lastCallInEraAtMs = calledAtMs;
+      this.lastCallWithoutNewEraAtMs = calledAtMs;
       this.emitFullRead(page);
       this.applyPage(page, onSnapshot);
       return;
@@ -134,7 +134,7 @@
       this.scheduleFullRead("returned");
       return;
     }
-    this.lastCallInEraAtMs = calledAtMs;
+    this.lastCallWithoutNewEraAtMs = calledAtMs;
     this.applyPage(page, onChanges);
   }
 
@@ -151,7 +151,7 @@
     this.era = era;
     if (previous === undefined || previous === era) return;
     this.cause = "returned";
-    this.options.onReturned(this.lastCallInEraAtMs);
+    this.options.onReturned(this.lastCallWithoutNewEraAtMs);
   }
 
   private emitFullRead({ records, nextOffset, era }: KeyedPage): void {
--- a/src/rankmaps/map-planner.ts
+++ b/src/rankmaps/map-planner.ts
@@ -1,6 +1,6 @@
 /**
  * Plans a better expert map that takes few weight copies. Each copy occupies
- * its rank's link and slows down every pass of the group while it lasts, and
+ * its rank's link and slows down every step of the group while it lasts, and
  * demand may have shifted again by the end of a long copy. Each map therefore
  * brings a rank only a few new experts, those that relieve the group most, and
  * the next map continues from there.
@@ -29,7 +29,7 @@
 
 /**
  * Share of the most loaded ranks' work that each copy has to save. A copy slows
- * down every pass by a seventh while it lasts and occupies the rank's link.
+ * down every step by a seventh while it lasts and occupies the rank's link.
  */
 const MINIMUM_SAVING_PER_COPY = 0.003;
 /**
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -36,7 +36,7 @@
 export interface EngineProperties {
   /** Requests that an engine runs in one batch. */
   readonly slots: number;
-  /** Engine steps per pass while answers are running. */
+  /** Steps by which an engine advances at once while answers are running. */
   readonly stepsPerPass: number;
   /** Number of layer sets with their own expert map; 0 without expert maps. */
   readonly expertSets: number;
--- a/src/shared/errors.ts
+++ b/src/shared/errors.ts
@@ -182,7 +182,7 @@
     "outcome-unknown",
     504,
     "unknown",
-    "The backend server can't be asked whether the work was started.",
+    "It can't be determined whether a backend server started the work.",
     "Check the effect before the request is repeated.",
   ),
   1212: entry(
@@ -225,7 +225,7 @@
     "answer-incomplete",
     502,
     "broken-off",
-    "Pieces of the answer were lost or damaged and can't be had again.",
+    "Pieces of the answer were lost or damaged and couldn't be recovered.",
     "Repeat the request if it may be repeated.",
   ),
   1218: entry(
@@ -270,7 +270,7 @@
     "idempotency-key-from-future",
     400,
     "unknown",
-    "The idempotency key was made ahead of the clocks here.",
+    "The time in the idempotency key is too far ahead of this process's clock.",
     "Correct the clock of the caller.",
   ),
   1304: entry(
@@ -342,7 +342,7 @@
     "agent-full",
     503,
     "not-run",
-    "The backend server is at its own limit.",
+    "The backend server is at its limit of running requests.",
     "Retry after the given time.",
   ),
 
@@ -431,7 +431,7 @@
     "group-not-formed",
     0,
     "none",
-    "The engine hasn't joined its group.",
+    "The group isn't formed, or an engine hasn't joined it.",
     "Wait for the formation; see docs/OPERATIONS/stuck-map-switch.md.",
   ),
   1607: entry(
@@ -521,14 +521,14 @@
     "log-unavailable",
     503,
     "not-run",
-    "The platform's log service doesn't answer.",
+    "The platform's log or store doesn't answer.",
     "Wait for the platform; repeatable requests are still served.",
   ),
   1902: entry(
     "log-record-lost",
     0,
     "none",
-    "The log no longer holds the wanted records.",
+    "The log or store no longer holds the wanted records.",
     "Start from a checkpoint or from a peer's snapshot.",
   ),
   1903: entry(
--- a/src/shared/events.ts
+++ b/src/shared/events.ts
@@ -31,7 +31,7 @@
     graceMs: "longest wait for running work, ms",
   }),
   103: entry("process-stopped", "info", "The daemon ends.", {
-    cutRequests: "requests that were cut by the stop",
+    cutRequests: "number of requests that the stop cut off",
   }),
   104: entry("invariant-violated", "error", "An internal rule was broken.", {
     rule: "name of the rule",
@@ -52,7 +52,7 @@
   111: entry("configuration-accepted", "info", "A version is in force here.", {
     version: "offset in the log",
     hash: "content hash",
-    source: "log, peer or checkpoint",
+    source: "log or peer",
   }),
   112: entry("configuration-rejected", "warn", "A publication was refused.", {
     offset: "offset in the log",
@@ -71,7 +71,7 @@
   114: entry(
     "configuration-undecided",
     "warn",
-    "Earlier records are lost; a usable checkpoint is awaited.",
+    "Earlier records are lost; a checkpoint, snapshot or publication without a base is awaited.",
     {
       heldFrom: "first offset that the log still holds",
       version: "version in force here, -1 when none",
@@ -106,11 +106,16 @@
     pieces: "pieces sent to the caller",
     durationMs: "time since acceptance, ms",
   }),
-  125: entry("frame-dropped", "warn", "A late or crossed frame was dropped.", {
-    attempt: "attempt id",
-    reason: "why it was dropped",
-    count: "frames dropped for this reason since the start",
-  }),
+  125: entry(
+    "frame-dropped",
+    "warn",
+    "A late, repeated or out-of-order frame was dropped.",
+    {
+      attempt: "attempt id",
+      reason: "why it was dropped",
+      count: "frames dropped for this reason since the start",
+    },
+  ),
   126: entry(
     "attempt-resumed",
     "info",
@@ -124,7 +129,7 @@
   ),
   127: entry("request-placed-again", "info", "A request is placed again.", {
     request: "request id",
-    reason: "proof that it was not run, or repeatable",
+    reason: "not run or repeatable",
     error: "error number of the attempt before",
   }),
 
@@ -175,7 +180,7 @@
   143: entry("session-closed", "info", "An agent confirmed a closed session.", {
     runner: "backend server",
     session: "session number",
-    started: "attempts of it that had started",
+    started: "number of its attempts that had started",
   }),
 
   144: entry(
@@ -185,7 +190,7 @@
     {
       runner: "backend server",
       session: "session number",
-      requests: "requests whose outcome depends on it",
+      requests: "number of requests whose outcome depends on it",
     },
   ),
   145: entry("agent-leaving", "info", "An agent takes no new work.", {
@@ -229,7 +234,7 @@
   160: entry("map-proposal-ended", "info", "A map proposal ended.", {
     mapHash: "content hash of the map",
     end: "committed, aborted, or the error number",
-    durationMs: "time since proposeMap, ms",
+    durationMs: "time since the map was proposed, ms",
   }),
   161: entry("map-vote", "info", "The vote of this member is fixed.", {
     proposal: "number and author",
@@ -254,7 +259,7 @@
   165: entry(
     "weight-fetch-failed",
     "warn",
-    "Fetching a part of weights failed.",
+    "Fetching a part of an expert's weights failed.",
     {
       layer: "layer",
       expert: "expert",
@@ -264,7 +269,7 @@
   ),
   166: entry("formation-started", "warn", "This agent re-forms the group.", {
     formation: "number and author",
-    members: "members of the group",
+    members: "number of members of the group",
   }),
 
   // 170: orders and fencing
@@ -279,22 +284,42 @@
       durationMs: "time since it was taken, ms",
     },
   ),
-  171: entry("order-refused", "warn", "An order was refused.", {
-    fencing: "fencing token of the order",
-    highest: "highest fencing token known",
-    error: "error number",
-  }),
-  172: entry("order-waits", "info", "Orders wait for earlier ones to lapse.", {
-    waitMs: "time to wait, ms",
-    reason: "start or lost answer",
-  }),
-  173: entry("lease-acquired", "info", "This process holds the lease.", {
-    fencing: "fencing token",
-  }),
-  174: entry("lease-lost", "warn", "This process holds the lease no longer.", {
-    fencing: "fencing token",
-    reason: "expired or superseded",
-  }),
+  171: entry(
+    "order-refused",
+    "warn",
+    "An order was refused or not confirmed in time.",
+    {
+      fencing: "fencing token of the order",
+      highest: "highest fencing token known; null if a rank refused the order",
+      error: "error number",
+    },
+  ),
+  172: entry(
+    "order-waits",
+    "info",
+    "Orders wait until earlier ones can no longer take effect.",
+    {
+      waitMs: "time to wait, ms",
+      reason: "start or lost answer",
+    },
+  ),
+  173: entry(
+    "lease-acquired",
+    "info",
+    "This process holds the group's planner lease.",
+    {
+      fencing: "fencing token",
+    },
+  ),
+  174: entry(
+    "lease-lost",
+    "warn",
+    "This process no longer holds the group's planner lease.",
+    {
+      fencing: "fencing token",
+      reason: "superseded, or store restored from an older copy",
+    },
+  ),
 
   // 180: expert balance
   181: entry("experts-moved", "info", "A better expert map was planned.", {
@@ -327,14 +352,24 @@
   }),
 
   // 190: platform services
-  191: entry("log-outage", "warn", "The log service doesn't answer.", {
-    stream: "stream of the log",
-    reason: "failure seen",
-  }),
-  192: entry("log-restored", "info", "The log service answers again.", {
-    stream: "stream of the log",
-    outageMs: "length of the outage, ms",
-  }),
+  191: entry(
+    "log-outage",
+    "warn",
+    "The platform's log or store doesn't answer.",
+    {
+      stream: "stream of the log or topic of the store",
+      reason: "failure seen",
+    },
+  ),
+  192: entry(
+    "log-restored",
+    "info",
+    "The platform's log or store answers again.",
+    {
+      stream: "stream of the log or topic of the store",
+      outageMs: "length of the outage, ms",
+    },
+  ),
   193: entry("record-unusable", "warn", "A record of the store is left out.", {
     stream: "stream of the store",
     key: "the record's key, empty when it can't be read",
@@ -374,7 +409,7 @@
     { reason: "field and what was expected" },
   ),
   203: entry("settings-reloaded", "info", "The settings file was read again.", {
-    changed: "fields that differ and need a restart, none when empty",
+    changed: "fields that differ and need a restart; empty if there are none",
   }),
   211: entry("runner-joined", "info", "A runner registered itself.", {
     runner: "id of the runner",
@@ -455,7 +490,7 @@
     durationMs: "time since it was planned, ms",
   }),
   222: entry("rank-order-failed", "warn", "A rank didn't accept an order.", {
-    order: "prepare, arm, hold or release",
+    order: "prepare, arm, disarm, hold or release",
     reason: "status, or why there was no answer",
   }),
   223: entry("group-incomplete", "warn", "Not all ranks can be reached.", {
--- a/standins/engine-interface.ts
+++ b/standins/engine-interface.ts
@@ -9,7 +9,7 @@
 
 export interface EngineInterfaceFaults {
   /** Number of upcoming responses to drop after the call was applied. */
-  dropResponses: number;
+  responsesToDrop: number;
   /** Delay before an order is applied. */
   orderDelayMs: number;
 }
@@ -32,14 +32,14 @@
   readonly checksFencing: boolean;
 }
 
-const STATUS_UNAVAILABLE = 503;
+const HTTP_UNAVAILABLE = 503;
 
 export function createEngineInterface(
   options: EngineInterfaceOptions,
 ): EngineInterface {
   const { group, member, checksFencing } = options;
   const faults: EngineInterfaceFaults = {
-    dropResponses: 0,
+    responsesToDrop: 0,
     orderDelayMs: 0,
   };
   const appliedOrders: OrderRecord[] = [];
@@ -51,8 +51,8 @@
     body: unknown,
     accepted: boolean,
   ): void => {
-    if (faults.dropResponses > 0) {
-      faults.dropResponses -= 1;
+    if (faults.responsesToDrop > 0) {
+      faults.responsesToDrop -= 1;
       response.destroy();
     } else sendJson(response, body, accepted ? 200 : 409);
   };
@@ -64,7 +64,7 @@
       text === undefined ? parseReadCall(call) : parseMapCall(call, text);
     const result = group.call(member, engineCall, Date.now());
     if (result === undefined)
-      sendJson(response, { error: "gone" }, STATUS_UNAVAILABLE);
+      sendJson(response, { error: "gone" }, HTTP_UNAVAILABLE);
     else send(call, result.answer, result.accepted);
   };
 
--- a/standins/keyed-store.ts
+++ b/standins/keyed-store.ts
@@ -21,8 +21,8 @@
 /** How the store currently responds: normally, with 503, or not at all. */
 export type StoreAvailability = "well" | "refusing" | "silent";
 
-const STATUS_GONE = 410;
-const STATUS_UNAVAILABLE = 503;
+const HTTP_GONE = 410;
+const HTTP_UNAVAILABLE = 503;
 const MAXIMUM_WAIT_MS = 30_000;
 const LENGTH_PREFIX_BYTES = 4;
 
@@ -150,7 +150,7 @@
     if (this.availability === "silent") return;
     response.setHeader(headerNames.storeEra, this.era);
     if (this.availability === "refusing") {
-      response.writeHead(STATUS_UNAVAILABLE).end();
+      response.writeHead(HTTP_UNAVAILABLE).end();
       return;
     }
     const topic = this.getOrCreateTopic(url.searchParams.get("topic") ?? "");
@@ -173,7 +173,7 @@
     await topic.waitForOffsetAfter(from, waitMs);
     response.setHeader(headerNames.storeEra, this.era);
     if (from < topic.firstOffset || from > topic.nextOffset) {
-      sendJson(response, STATUS_GONE, { start_offset: topic.firstOffset });
+      sendJson(response, HTTP_GONE, { start_offset: topic.firstOffset });
       return;
     }
     const header = Buffer.alloc(16);
--- a/standins/signing-runner.ts
+++ b/standins/signing-runner.ts
@@ -31,7 +31,7 @@
 
 export type Behaviour = (exchange: Exchange) => void | Promise<void>;
 
-const STATUS_MISDIRECTED = 421;
+const HTTP_MISDIRECTED_REQUEST = 421;
 
 export class SigningRunner implements AsyncDisposable {
   readonly receivedRequests: ReceivedRequest[] = [];
@@ -95,7 +95,7 @@
     const expected = request.headers[headerNames.expectedRunner];
     if (expected !== undefined && expected !== this.id) {
       this.misdirected += 1;
-      response.writeHead(STATUS_MISDIRECTED).end();
+      response.writeHead(HTTP_MISDIRECTED_REQUEST).end();
       return;
     }
     const received = await readRequest(request);
--- a/tests/fuzz/expertmap.test.ts
+++ b/tests/fuzz/expertmap.test.ts
@@ -1,5 +1,5 @@
 import * as assert from "uvu/assert";
-import { expertmap, checkHistory } from "../../fuzz/expertmap.js";
+import { expertmapTarget, checkHistory } from "../../fuzz/expertmap.js";
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 300;
@@ -11,16 +11,16 @@
 
 describe("expert map under random faults", () => {
   it("uses one map in every step and keeps running", async () => {
-    const result = await expertmap.run({ seed: 1, runs: CLEAN_RUNS });
+    const result = await expertmapTarget.run({ seed: 1, runs: CLEAN_RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, CLEAN_RUNS);
   });
 
   describe("with a safeguard disabled", () => {
-    for (const [mutation, runs] of Object.entries(expertmap.mutations)) {
+    for (const [mutation, runs] of Object.entries(expertmapTarget.mutations)) {
       it(`finds a violation for mutation ${mutation}`, async () => {
         const seed = seeds[mutation] ?? 1;
-        const result = await expertmap.run({ seed, runs, mutation });
+        const result = await expertmapTarget.run({ seed, runs, mutation });
         assert.is(result.violations, 1);
       });
     }
@@ -28,10 +28,10 @@
 
   describe("regressions", () => {
     // Guards against a group that is stuck forever: the engine of the agent
-    // that leads the formation restarts after its promise, and the agent waits
-    // for its own engine to join while its messages keep the other members from
-    // starting a new formation.
-    it("forms again when the leader's engine has forgotten its promise", () => {
+    // that started the formation restarts after it was sealed, and the agent
+    // waits for its own engine to join while its messages keep the other
+    // members from starting a new formation.
+    it("forms again when the engine of the formation's author has lost its seal", () => {
       const fault = { kind: "restartEngine", member: 0 } as const;
       const steps = [
         { fault, wait: 55 },
@@ -66,8 +66,8 @@
       assert.equal(checkHistory({ seed: 1637078277, steps }), []);
     });
 
-    // Guards against a group that is stuck forever: one engine forgets a
-    // promise and joins an older formation that is still being sent, while the
+    // Guards against a group that is stuck forever: one engine loses its
+    // seal and joins an older formation that is still being sent, while the
     // others have joined the newer one. Each formation looks complete to its
     // members, which wait for the rest.
     it("forms again when members have joined different formations", () => {
--- a/tests/fuzz/orders.test.ts
+++ b/tests/fuzz/orders.test.ts
@@ -1,20 +1,20 @@
 import * as assert from "uvu/assert";
-import { checkOrders, orders } from "../../fuzz/orders.js";
+import { checkOrders, ordersTarget } from "../../fuzz/orders.js";
 import { describe, it } from "../support/describe.js";
 
 const CLEAN_RUNS = 500;
 
 describe("orders to engines under random faults", () => {
   it("let no stale order override a confirmed one", async () => {
-    const result = await orders.run({ seed: 1, runs: CLEAN_RUNS });
+    const result = await ordersTarget.run({ seed: 1, runs: CLEAN_RUNS });
     assert.equal(result.counterexample, []);
     assert.is(result.histories, CLEAN_RUNS);
   });
 
   describe("with a safeguard disabled", () => {
-    for (const [mutation, runs] of Object.entries(orders.mutations)) {
+    for (const [mutation, runs] of Object.entries(ordersTarget.mutations)) {
       it(`finds a violation for mutation ${mutation}`, async () => {
-        const result = await orders.run({ seed: 1, runs, mutation });
+        const result = await ordersTarget.run({ seed: 1, runs, mutation });
         assert.is(result.violations, 1);
       });
     }
--- a/tests/orders/order-task-sockets.test.ts
+++ b/tests/orders/order-task-sockets.test.ts
@@ -125,7 +125,7 @@
     it("reads the engine's state after a lost response", async () => {
       await withEngine(checksFencing, async ({ engine, append, waits }) => {
         const lease = await append(acquire("first", -1));
-        engine.faults.dropResponses = 1;
+        engine.faults.responsesToDrop = 1;
         await append(load("first", lease, "model"));
         await waitFor(() => engine.appliedOrders.length > 0);
         await append(load("first", lease, "other"));
--- a/tests/platform/entry-site.ts
+++ b/tests/platform/entry-site.ts
@@ -303,7 +303,7 @@
     });
   }
 
-  /** Polls without a limit of its own; the test's time limit applies. */
+  /** Polls without a time limit: never resolves if the condition isn't met. */
   async waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
     while (!(await condition())) {
       await new Promise((resolve) => {
--- a/tests/platform/response-completeness.test.ts
+++ b/tests/platform/response-completeness.test.ts
@@ -163,7 +163,7 @@
     });
 
     it("stays without framing in a stream with another transfer coding", async () => {
-      // In a stream, the entry would end its own chunked encoding after the
+      // In a stream, the entry would end its own chunked coding after the
       // last received event, as if the stream were complete.
       await using site = await EntrySite.createWithRunners(
         answerRaw(OTHER_CODING + EVENTS_STREAM, formatEvent(1), "end"),
--- a/tests/session/sockets.test.ts
+++ b/tests/session/sockets.test.ts
@@ -12,7 +12,7 @@
 import { describe, it } from "../support/describe.js";
 
 const STEP_MS = 2;
-const POLL_MS = 25;
+const POLL_INTERVAL_MS = 25;
 
 async function startServingSite(runners: number): Promise<Site> {
   const site = await startSite({
@@ -60,7 +60,7 @@
 }
 
 async function waitUntil(condition: () => boolean | Promise<boolean>) {
-  while (!(await condition())) await sleep(POLL_MS);
+  while (!(await condition())) await sleep(POLL_INTERVAL_MS);
 }
 
 /** Indexes of the tokens, each of which the engine sends as "digest.index ". */
